--- a/include/wrenswitch/decision/gateway/candidate_limits.hpp
+++ b/include/wrenswitch/decision/gateway/candidate_limits.hpp
@@ -8,51 +8,54 @@
 
 namespace wrenswitch {
 
-/// The names of regions.
+/// Names of regions.
 using region_set = std::set<std::string, std::less<>>;
 
-/// The regions that a request is bound to; nothing if it may go anywhere. An empty set allows none.
+/// The regions that may process a request; no value if the request isn't restricted. An empty set
+/// allows no region.
 using allowed_regions = std::optional<region_set>;
 
-/// The regions that both allow.
-allowed_regions allowed_by_both(const allowed_regions& left, const allowed_regions& right);
+/// Returns the regions that both restrictions allow.
+allowed_regions intersect_regions(const allowed_regions& left, const allowed_regions& right);
 
-/// True if a request bound to these regions may be in this one. An empty name is a region that
-/// nobody named: only what isn't bound may be there.
-bool may_be_in(const allowed_regions& allowed, std::string_view region);
+/// True if a request with this restriction may be processed in the region. An empty name stands for
+/// an unknown region, which only unrestricted requests may use.
+bool allows_region(const allowed_regions& allowed, std::string_view region);
 
-/// Which versions of a service's targets a request may go to while the service is rolled out.
+/// Which versions of a service's targets a request may use during a rollout.
 enum class version_rule {
     any,
-    /// Only the version that is named.
+    /// Only the named version.
     only,
-    /// Every version but the one that is named.
+    /// Every version except the named one.
     other_than,
 };
 
 using version_set = std::set<std::string, std::less<>>;
 
-/// Which version a request goes to, and how many of its targets are used.
-struct version_limit {
+/// Restricts a request to some versions of a service, and optionally to a subset of the targets of
+/// one version.
+struct version_constraint {
     version_rule rule = version_rule::any;
     std::string version;
-    /// With `only`: the number of the version's targets that are used, so that a few bear the load
-    /// that the others are spared; zero for all of them.
+    /// With `only`: the number of targets of the version that receive requests, so that a small
+    /// group takes the load and the other targets don't; zero for all of them.
     std::uint32_t group_size = 0;
-    /// Which of them: another number chooses others. The same everywhere, without a word.
+    /// Seed that selects the group. Every process derives the same group from it, without any
+    /// communication.
     std::uint64_t group_seed = 0;
-    /// Versions of orders that came before and weren't completed: nothing goes there, whatever the
-    /// rule says.
+    /// Versions of earlier rollouts that weren't completed. They receive nothing, whatever the rule
+    /// says.
     version_set excluded;
 
-    /// True if a target of this version may be chosen, as far as its version goes.
+    /// True if the constraint allows targets of this version.
     bool admits(std::string_view target_version) const;
 };
 
-/// What narrows the targets of one request, beside what is known of the targets themselves.
-struct candidate_limits {
+/// Constraints on the targets of one request that don't depend on the state of the targets.
+struct candidate_constraints {
     allowed_regions regions;
-    version_limit version;
+    version_constraint version;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/cold_targets.hpp
+++ b/include/wrenswitch/decision/gateway/cold_targets.hpp
@@ -14,75 +14,82 @@
 
 namespace wrenswitch {
 
-/// Whose turns at a cold target a choice uses.
-enum class turn_owner {
-    /// The engine's keeper, which chooses for all entries.
-    keeper,
-    /// An entry that can't ask the engine's keeper.
-    stand_in,
-    /// One of the entries that all send to a target which nobody keeps.
+/// Which share of a cold target's rate a choice of target draws on.
+enum class permit_share {
+    /// The share of the engine's coordinator: the gateway that places requests on the engine on
+    /// behalf of all gateways.
+    coordinator,
+    /// The share of gateways that can't reach the engine's coordinator.
+    fallback,
+    /// An equal share for each gateway, at targets that every gateway chooses by itself.
     equal,
 };
 
-constexpr std::array turn_owners{turn_owner::keeper, turn_owner::stand_in, turn_owner::equal};
+constexpr std::array permit_shares{permit_share::coordinator, permit_share::fallback,
+                                   permit_share::equal};
 
-/// Which targets are cold, and when a request may be sent to one. The load it answers: after a loss
-/// of power, a crash or an emptied failure domain many targets are cold at once and all entries
-/// send to them; each bears no more than its rate from all together.
-class cold_targets {
+/// Tracks which targets are cold and limits the rate at which requests are sent to them. After a
+/// power failure, a crash, or the return of an evacuated failure domain many targets are cold at
+/// once, and all gateways send to them; each target gets no more than its warm-up rate from all of
+/// them together.
+class warmup_limiter {
 public:
-    /// `entries` tells how many entries share what a cold target bears; zero while that isn't
-    /// known.
-    cold_targets(std::function<std::size_t()> entries, random_source& random);
-
-    /// Looks how many entries share what a cold target bears. Until that is known there are no
-    /// turns but a keeper's: a process that took itself for one of 4 where there are 26 would send
-    /// 6 times its share. A directory that is found empty later leaves the last count in force.
-    void count_entries(instant now);
-
-    /// What a service's targets bear while they are cold. Those that are known to be cold begin
-    /// anew if that changes: their turns were counted without it.
+    /// `gateway_count` returns the number of gateways that share a cold target's rate; zero while
+    /// it isn't known.
+    warmup_limiter(std::function<std::size_t()> gateway_count, random_source& random);
+
+    /// Updates the number of gateways that share a cold target's rate. Until it is known only the
+    /// `coordinator` share issues permits: a process that assumed 4 gateways where there are 26
+    /// would send 6 times its share. If the directory of gateways is found empty later, the last
+    /// count stays in force.
+    void refresh_gateway_count(instant now);
+
+    /// Sets the warm-up limits of a service. If they change, the permits of its cold targets are
+    /// deferred, since earlier ones were issued under other limits.
     void set_warmup(instant now, const std::string& service, const target_warmup& warmup);
 
-    /// How long a target of a service is cold after a start.
-    microseconds warmup_length(std::string_view service) const;
+    /// How long a target of a service stays cold after a start.
+    microseconds warmup_duration(std::string_view service) const;
 
-    /// A target of the service is cold for so long, or longer if that was known.
-    void note(instant now, std::string_view target, std::string_view service, microseconds left);
+    /// Marks a target of the service as cold for this long, or keeps a later end that is already
+    /// known.
+    void mark_cold(instant now, std::string_view target, std::string_view service,
+                   microseconds remaining);
 
-    /// The target is gone.
+    /// Forgets a target that is gone.
     void forget(std::string_view target);
 
-    /// True if the target is cold, as far as is known.
+    /// True if the target is known to be cold.
     bool is_cold(instant now, std::string_view target) const;
 
-    /// How long a request has to wait for the owner's next turn at the target; zero if the target
-    /// is warm or its service has no bound.
-    microseconds wait(instant now, std::string_view target, turn_owner owner) const;
+    /// The time until the share's next permit at the target is due; zero if the target is warm or
+    /// its service has no warm-up rate.
+    microseconds delay(instant now, std::string_view target, permit_share share) const;
 
-    /// A request takes the owner's next turn. Returns how long it has to wait for that.
-    microseconds take(instant now, std::string_view target, turn_owner owner);
+    /// Reserves the share's next permit and returns the time until it is due.
+    microseconds reserve(instant now, std::string_view target, permit_share share);
 
-    /// Another process may have given the keepers' turns until now: this one begins anew.
-    void hold_back(instant now);
+    /// Defers the permits of the `coordinator` share at all cold targets, because another process
+    /// may have issued them until now.
+    void defer_permits(instant now);
 
 private:
     struct target_state {
         std::string service;
-        /// By the owner.
-        std::array<cold_turns, turn_owners.size()> turns;
+        /// Indexed by permit_share.
+        std::array<warmup_pacer, permit_shares.size()> pacers;
     };
 
-    static constexpr std::size_t place_of(turn_owner owner) {
-        return static_cast<std::size_t>(owner);
+    static constexpr std::size_t index_of(permit_share share) {
+        return static_cast<std::size_t>(share);
     }
-    microseconds spacing(std::string_view service, turn_owner owner) const;
-    microseconds first_turn(std::string_view service, turn_owner owner);
-    void hold_back(instant now, target_state& state, turn_owner owner);
+    microseconds interval(std::string_view service, permit_share share) const;
+    microseconds first_permit_delay(std::string_view service, permit_share share);
+    void defer_permits(instant now, target_state& state, permit_share share);
 
-    std::function<std::size_t()> entries_;
-    /// As last known; zero before it was.
-    std::size_t known_entries_;
+    std::function<std::size_t()> gateway_count_;
+    /// The last known number of gateways; zero if it was never known.
+    std::size_t known_gateway_count_;
     random_source& random_;
     std::map<std::string, target_warmup, std::less<>> warmups_;
     /// Targets that are or were cold.
--- a/include/wrenswitch/decision/gateway/cold_turns.hpp
+++ b/include/wrenswitch/decision/gateway/cold_turns.hpp
@@ -4,30 +4,32 @@
 
 namespace wrenswitch {
 
-/// Spaces the requests that one target gets while it is cold. A target that gets well more than its
-/// rate falls over, and what counts is the sum over all entries, so that each process has a part of
-/// the rate and no turn in hand when it begins: one that starts anew can't use a predecessor's
-/// turns twice. A request takes the next turn and is sent when that comes.
-class cold_turns {
+/// Paces one process's requests to a target while the target is cold. A cold target fails if it
+/// receives well more than its warm-up rate from all gateways together, so each process gets a
+/// share of that rate and starts without any unused permits: a process that restarts can't use
+/// permits that its predecessor has already used. A request reserves the next send permit and is
+/// sent when that permit becomes due.
+class warmup_pacer {
 public:
-    /// The target is cold until then, or longer if that was known. The first turn comes after this
-    /// time if the target was warm.
-    void begin(instant now, instant until, microseconds first_turn);
+    /// Marks the target as cold until the given time, or keeps a later one that is already known.
+    /// If the target was warm, the first permit is due after the given delay.
+    void begin(instant now, instant until, microseconds first_permit_delay);
 
-    /// Turns that others may have taken count as taken: none comes before this time.
-    void hold_back(instant now, microseconds first_turn);
+    /// Treats permits that other processes may have issued as used: none is due before the delay
+    /// has passed.
+    void defer(instant now, microseconds first_permit_delay);
 
     bool is_cold(instant now) const { return now < cold_until_; }
 
-    /// How long the next request has to wait; zero if the target is warm.
-    microseconds wait(instant now) const;
+    /// The time until the next permit is due; zero if the target is warm.
+    microseconds delay(instant now) const;
 
-    /// A request takes the next turn; the one behind it comes this much later.
-    void take(instant now, microseconds spacing);
+    /// Reserves the next permit; the one after it is due an interval later.
+    void reserve(instant now, microseconds interval);
 
 private:
     instant cold_until_{};
-    instant next_turn_{};
+    instant next_permit_{};
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/named_limits.hpp
+++ b/include/wrenswitch/decision/gateway/named_limits.hpp
@@ -17,115 +17,121 @@
 
 namespace wrenswitch {
 
-/// What news of a target changed by much in what is believed of its limit.
-enum class limit_news { none, named, changed, ended };
-
-/// The entries that share targets' limits, as this one knows them.
-struct limit_sharers {
-    /// How many entries there are; zero while that isn't known.
-    std::function<std::size_t()> entries = [] { return std::size_t{1}; };
-    /// True if this entry is among the first so many in the target's order of entries, which is the
-    /// same at all entries that know the same ones.
+/// How a response or a peer's report changed the known limit of a target; `changed` only if the
+/// rate changed by a notable factor.
+enum class limit_change { none, added, changed, removed };
+
+/// This gateway's view of the gateways that share the targets' limits.
+struct limit_peers {
+    /// The number of gateways; zero while it isn't known.
+    std::function<std::size_t()> gateway_count = [] { return std::size_t{1}; };
+    /// True if this gateway is among the first `count` in the target's order of gateways. Gateways
+    /// that know the same members compute the same order.
     std::function<bool(std::string_view target, std::size_t count)> is_among_first =
         [](std::string_view, std::size_t) { return true; };
-    /// Rises whenever the two above may have changed.
+    /// Increases whenever the results of the two functions above may have changed.
     std::function<std::uint64_t()> version = [] { return std::uint64_t{0}; };
 };
 
-/// The limits that targets name: how many requests a second each takes from all entries together,
-/// and when this entry may send there.
+/// Enforces the request rates that targets advertise. A target's limit covers the requests of all
+/// gateways together.
 ///
-/// The bound, in any four seconds half as much again as the limit allows and five, holds without
-/// a message between entries: of all of them only a few send to a limited target, the first in an
-/// order that all know, and each of these has an equal share of the rate. n senders with no turn in
-/// hand send four times the rate and n; there are never more of them than leave that below the
-/// bound. With all entries as senders, 26 of them would send 26 requests at once to a target that
-/// takes 1.3 a second. Whoever becomes a sender, or starts anew, has no turn for a whole spacing,
-/// so that turns that another one gave aren't given twice.
-class named_limits {
+/// In any four seconds a target gets at most one and a half times what its limit allows, plus five
+/// requests. This holds without messages between gateways: only a few of them, the first in an
+/// order that all of them compute, send to a limited target, and each of these has an equal share
+/// of the rate. n senders that start without available permits send at most four times the rate
+/// plus n in that window, and their number is limited so that this stays below the bound. If all
+/// gateways were senders, 26 of them would send 26 requests at once to a target that accepts 1.3
+/// per second. A gateway that becomes a sender or restarts gets no permit for one whole interval,
+/// so that permits that another gateway has issued aren't issued twice.
+class advertised_limits {
 public:
-    named_limits(limit_sharers sharers, random_source& random)
-        : sharers_(std::move(sharers)), random_(random) {}
+    advertised_limits(limit_peers peers, random_source& random)
+        : peers_(std::move(peers)), random_(random) {}
 
-    /// An answer came to a request that was sent then. It names a limit, or none. Answers overtake
-    /// one another: a higher limit, or none, is only believed of an answer to a request that was
-    /// sent after the present one was last named.
-    limit_news heard(instant now, std::string_view target, instant sent,
-                     std::optional<double> per_second);
+    /// Handles a response to a request that was sent at `sent`. It advertises a limit, in requests
+    /// per second, or none. Responses may arrive out of order, so a higher limit, or none, is only
+    /// accepted from a response to a request that was sent after the current limit was last
+    /// advertised.
+    limit_change on_response(instant now, std::string_view target, instant sent,
+                             std::optional<double> per_second);
 
-    /// Another entry says that the target named this limit, or none, as of then.
-    limit_news told(instant now, std::string_view target, instant as_of,
-                    std::optional<double> per_second);
+    /// Handles another gateway's report that the target advertised this limit, or none, at `as_of`.
+    limit_change on_peer_report(instant now, std::string_view target, instant as_of,
+                                std::optional<double> per_second);
 
-    /// How long the next request has to wait for this entry's turn at the target; zero if that
-    /// names no limit, longer than any request waits if this entry has no turns there.
-    microseconds wait(instant now, std::string_view target);
+    /// The time until this gateway's next permit at the target is due. Zero if the target
+    /// advertises no limit, longer than any request waits if this gateway isn't one of its senders.
+    microseconds delay(instant now, std::string_view target);
 
-    /// A request takes this entry's next turn.
-    void take(instant now, std::string_view target);
+    /// Reserves this gateway's next permit at the target.
+    void reserve(instant now, std::string_view target);
 
-    /// Rises when the target has named a limit, or one that differs by much: turns that were taken
-    /// before count no more.
-    std::uint64_t turns_void(std::string_view target) const;
+    /// Increases when the target advertises its first limit, or one that differs notably. Permits
+    /// that were reserved in an earlier epoch are void.
+    std::uint64_t limit_epoch(std::string_view target) const;
 
-    /// A request went to the target.
-    void note_sent(instant now, std::string_view target);
+    /// Records that a request was sent to the target.
+    void record_sent(instant now, std::string_view target);
 
-    /// The target is gone, or its process has started anew: it may say something else.
+    /// Forgets a target that is gone or whose process has restarted, since its limit may differ.
     void forget(std::string_view target);
 
-    /// What the target takes a second, as far as is known.
+    /// The known limit of the target, in requests per second.
     std::optional<double> limit_of(std::string_view target) const;
 
-    /// What is believed of a target's limit, and as of when. Nothing if it never named one.
-    struct belief {
+    /// The known limit of a target and the time at which it was known to apply.
+    struct known_limit {
         std::optional<double> per_second;
         instant as_of{};
     };
-    std::optional<belief> belief_of(std::string_view target) const;
+    /// Returns no value if the target never advertised a limit.
+    std::optional<known_limit> known_limit_of(std::string_view target) const;
 
-    /// The limited targets of which nothing was heard for so long.
-    std::vector<std::string> unheard(instant now, microseconds age) const;
+    /// The limited targets whose limit was last confirmed longer ago than this.
+    std::vector<std::string> stale_targets(instant now, microseconds age) const;
 
-    /// How many entries send to a target with this limit, at the most.
-    static std::size_t most_senders(double per_second);
+    /// The largest number of gateways that may send to a target with this limit.
+    static std::size_t max_senders(double per_second);
 
-    /// How many requests went to the target from this entry within the last seconds, while its
-    /// limit was known.
-    std::size_t sent_lately(instant now, std::string_view target) const;
+    /// The number of requests that this gateway sent to the target in the last four seconds, while
+    /// its limit was known.
+    std::size_t recent_sends(instant now, std::string_view target) const;
 
-    /// False if no target has named a limit.
-    bool any() const { return !targets_.empty(); }
+    /// False if no target has advertised a limit.
+    bool has_any() const { return !targets_.empty(); }
 
-    /// The targets that name a limit now.
-    std::size_t size() const;
+    /// The number of targets that currently have a limit.
+    std::size_t active_count() const;
 
-    /// The limit with its age and what was sent, for logs; empty if there is none.
+    /// Describes the limit, its age and the recent sends for logs; empty if there is no limit.
     std::string describe(instant now, std::string_view target) const;
 
 private:
     struct target_state {
         std::optional<double> per_second;
-        /// When the present limit, or one as low, was named last.
-        instant named_at{};
-        /// As of when a higher limit, or none, was last believed.
+        /// When the current limit, or one as low, was last advertised.
+        instant advertised_at{};
+        /// As of when a higher limit, or none, was last accepted.
         instant relaxed_at{};
-        std::uint64_t turns_void = 0;
-        send_pace pace;
+        std::uint64_t limit_epoch = 0;
+        send_pacer pacer;
         send_rate rate;
         bool is_sender = false;
-        /// The state of the sharers by which the rate was worked out.
-        std::optional<std::uint64_t> shared_at;
-        /// Requests that went there in the last window.
+        /// The version of the peers for which the rate was computed; no value if it has to be
+        /// computed.
+        std::optional<std::uint64_t> peers_version;
+        /// When requests were sent there in the last window.
         std::deque<instant> sends;
     };
 
-    limit_news believe(instant now, std::string_view target, instant as_of,
-                       std::optional<double> per_second);
-    void share(instant now, std::string_view target, target_state& state, bool differs = false);
+    limit_change update(instant now, std::string_view target, instant as_of,
+                        std::optional<double> per_second);
+    void refresh_share(instant now, std::string_view target, target_state& state,
+                       bool differs = false);
     const target_state* find(std::string_view target) const;
 
-    limit_sharers sharers_;
+    limit_peers peers_;
     random_source& random_;
     std::map<std::string, target_state, std::less<>> targets_;
 };
--- a/include/wrenswitch/decision/gateway/send_pace.hpp
+++ b/include/wrenswitch/decision/gateway/send_pace.hpp
@@ -6,44 +6,46 @@
 
 namespace wrenswitch {
 
-/// How often one sender may send, on average and at once.
+/// The average rate and the burst size of one sender.
 struct send_rate {
-    /// Between two turns.
-    microseconds spacing{};
-    /// Turns that may be in hand; at least one.
-    unsigned most_in_hand = 1;
+    /// The time between two permits.
+    microseconds interval{};
+    /// The number of permits that may be available at once; at least one.
+    unsigned max_burst = 1;
 
-    /// What the turns in hand beyond the first have taken to come.
-    microseconds saved() const { return spacing * (most_in_hand - 1); }
+    /// The time in which the permits of a burst after the first one accumulate.
+    microseconds burst_tolerance() const { return interval * (max_burst - 1); }
 };
 
-/// Spaces what one sender sends: within any time it has no more turns than that time holds, and
-/// those in hand. A request takes the next turn and is sent when that comes.
-class send_pace {
+/// Paces one sender with the generic cell rate algorithm (GCRA): in any period it issues no more
+/// permits than the rate yields in that period plus one burst. A request reserves the next permit
+/// and is sent when that permit becomes due.
+class send_pacer {
 public:
-    /// No turn is in hand; the first comes after this time.
-    void begin(instant now, microseconds first_turn, const send_rate& rate) {
-        paid_until_ = now + first_turn + rate.saved();
+    /// Starts without available permits; the first one is due after the given delay.
+    void start(instant now, microseconds first_permit_delay, const send_rate& rate) {
+        theoretical_arrival_ = now + first_permit_delay + rate.burst_tolerance();
     }
 
-    /// The rate is another one from now on: the next turn is no further away than a new sender's.
-    void hasten(instant now, const send_rate& rate) {
-        paid_until_ = std::min(paid_until_, now + rate.spacing + rate.saved());
+    /// Applies a changed rate: the next permit is due no later than it would be for a new sender.
+    void cap_delay(instant now, const send_rate& rate) {
+        theoretical_arrival_ =
+            std::min(theoretical_arrival_, now + rate.interval + rate.burst_tolerance());
     }
 
-    /// How long the next request has to wait.
-    microseconds wait(instant now, const send_rate& rate) const {
-        return std::max(microseconds(0), paid_until_ - rate.saved() - now);
+    /// The time until the next permit is due.
+    microseconds delay(instant now, const send_rate& rate) const {
+        return std::max(microseconds(0), theoretical_arrival_ - rate.burst_tolerance() - now);
     }
 
-    /// A request takes the next turn.
-    void take(instant now, const send_rate& rate) {
-        paid_until_ = std::max(paid_until_, now) + rate.spacing;
+    /// Reserves the next permit.
+    void reserve(instant now, const send_rate& rate) {
+        theoretical_arrival_ = std::max(theoretical_arrival_, now) + rate.interval;
     }
 
 private:
-    /// The time at which no turn is owed any more and as many as may be are in hand.
-    instant paid_until_{};
+    /// The GCRA's theoretical arrival time: from then on a full burst is available.
+    instant theoretical_arrival_{};
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/target_pool.hpp
+++ b/include/wrenswitch/decision/gateway/target_pool.hpp
@@ -25,357 +25,377 @@
 
 namespace wrenswitch {
 
-/// A target as the platform's list of targets gives it. Its identifier and its start together name
-/// one life of it.
+/// A target as the platform's target list describes it. The identifier and the start time together
+/// identify one incarnation of it.
 struct gateway_target {
     std::string id;
     std::string service;
     std::string address;
     std::string failure_domain;
     unsigned slots = 1;
-    bool leaving = false;
-    /// Of its software; empty if it doesn't say.
+    bool draining = false;
+    /// Version of the target's software; empty if it reports none.
     std::string version;
-    /// When its process started, in Unix milliseconds by its own clock; nothing if it doesn't say.
-    /// One that starts again under its identifier has a later one.
+    /// When the target's process started, in Unix milliseconds by its own clock; no value if it
+    /// doesn't report this. A process that restarts under the same identifier has a later start
+    /// time.
     std::optional<std::int64_t> started{};
 
     friend bool operator==(const gateway_target&, const gateway_target&) = default;
 };
 
-/// A target's entry in the list.
+/// A target's record in the target list.
 struct listed_target {
     gateway_target target;
-    /// How much longer the target is cold, as of when it wrote the entry.
-    microseconds cold_left{};
+    /// How much longer the target stays cold, as of when it wrote the record.
+    microseconds cold_remaining{};
 };
 
-/// Settings of a pool.
+/// Settings of a target pool.
 struct target_pool_settings {
     std::string failure_domain;
     region_table regions;
-    /// What the way to another region and back is taken for.
+    /// Assumed network round trip to another region.
     microseconds far_round_trip = milliseconds(40);
-    /// What crossing to another failure domain counts as, in shares of a target's slots.
+    /// Cost of a target in another failure domain, as a fraction of the target's slots.
     double other_domain_cost = 0.05;
-    /// The same for crossing to another region, beside the time that takes: one's own targets are
-    /// used until they are nearly full, since a request waits for nothing before that.
+    /// Cost of a target in another region, as a fraction of the target's slots, in addition to the
+    /// round trip. Targets of the own region are used until they are nearly full, because a request
+    /// doesn't wait for anything before that.
     double other_region_cost = 0.6;
     microseconds first_ejection = milliseconds(500);
-    microseconds longest_ejection = seconds(8);
-    /// How long a report of load counts.
-    microseconds report_life = milliseconds(500);
-    /// How many entries there are, which share what a cold target bears; zero while that isn't
-    /// known, one if it isn't set.
-    std::function<std::size_t()> entries;
-    /// Who shares the limits that targets name.
-    limit_sharers sharers;
+    microseconds max_ejection = seconds(8);
+    /// How long a load report stays valid.
+    microseconds report_lifetime = milliseconds(500);
+    /// Returns the number of gateways that share the rate of a cold target; zero while it isn't
+    /// known. If the function isn't set, the number is one.
+    std::function<std::size_t()> gateway_count;
+    /// The gateways that share the limits that targets advertise.
+    limit_peers peers;
 };
 
-/// What turns a request may take at targets that say something of themselves.
-struct turn_wish {
-    /// How long it can wait for one.
-    microseconds longest_wait{};
-    /// If the request is less urgent than others that come: it takes a turn only if it leaves one
-    /// at another target that comes within this time. Zero if it needn't.
-    microseconds leaves_one_within{};
+/// Which send permits a request accepts at targets with an advertised limit or a backoff.
+struct permit_request {
+    /// The longest acceptable time until the permit is due.
+    microseconds max_wait{};
+    /// For a request with a lower priority than others that arrive: it uses a permit only if
+    /// another target still has one that is due within this time. Zero if no permit has to be
+    /// spared.
+    microseconds spare_permit_within{};
 };
 
-/// A place among what this entry may send to a target.
-struct send_turn {
+/// Permission to send one request to a target at a certain time.
+struct send_permit {
     /// How long the request has to wait until it is sent.
     microseconds wait{};
-    /// Counts what made earlier turns void when it was taken.
-    std::uint64_t turns_void = 0;
+    /// The target's limit epoch when the permit was reserved. The permit is void in any later
+    /// epoch.
+    std::uint64_t limit_epoch = 0;
 };
 
-/// Where a request goes.
+/// The target chosen for a request.
 struct target_choice {
-    /// Null if there is none.
+    /// Null if no target was found.
     const gateway_target* target = nullptr;
-    /// Another engine from which the target should copy what that one keeps of the prompt, or null.
+    /// Another engine from which the target should copy the cached memory of the prompt, or null.
     const gateway_target* copy_from = nullptr;
-    /// The tokens of the prompt that the target is expected to read.
-    tokens unread = 0;
-    /// What an engine was chosen by.
+    /// The tokens of the prompt that the target is expected to process itself, since no cached
+    /// memory covers them.
+    tokens uncached_tokens = 0;
+    /// The estimated cost that an engine was chosen by.
     placement_price price;
-    /// How long the request has to wait until it is sent, since the target is cold.
+    /// How long the request has to wait before it is sent, because the target is cold.
     microseconds wait{};
-    /// True if there is no target only because those that are left are cold and have no turn in
+    /// True if no target was found only because the remaining ones are cold and have no permit in
     /// time.
     bool all_cold = false;
 };
 
-/// Where the keeper that is asked for an engine is to be.
-enum class meeting_place {
-    /// In the own region if that has engines.
+/// Which regions rendezvous_engine() considers.
+enum class rendezvous_scope {
+    /// The own region if it has engines, unless the prompt justifies a round trip to another one.
     nearest,
-    /// Only in another region.
+    /// Only other regions.
     another_region,
 };
 
-/// Chooses a target for each request that goes to one directly: from the load reported with
-/// answers, what this entry has under way, and failures seen. Which of the usable engines a request
-/// with a prompt goes to is the placer's choice.
+/// Chooses a target for each request that the gateway sends directly to one, and keeps the state of
+/// all targets. The choice is based on the load that responses report, this gateway's own requests
+/// in flight, and recent failures. The engine placer chooses among the eligible engines for a
+/// request with a prompt.
 class target_pool {
 public:
     target_pool(target_pool_settings settings, random_source& random);
 
-    /// Takes in a target's newest entry, at this position in the list. An address belongs to the
-    /// target that was listed there last; whatever was there before it is gone.
-    void apply(const gateway_target& target, std::uint64_t position = 0);
+    /// Applies a target's latest record, which is at this position in the list. An address belongs
+    /// to the target that was listed there last; earlier targets at the same address are gone.
+    void apply(const gateway_target& target, std::uint64_t list_position = 0);
 
-    /// A target was met that wasn't in the list before. One of a version that no other target of
-    /// its service has is held back until the operators' orders were read, unless all are of it.
-    void hold_back_new_version(instant now, std::string_view id);
+    /// Handles a target that is new in the list. If no other target of its service has the same
+    /// version, it is held back until the rollout orders have been read, unless all targets of the
+    /// service have that version.
+    void quarantine_new_version(instant now, std::string_view id);
 
-    /// The operators' orders were read to their end by a read that began then.
+    /// Handles the end of a complete read of the rollout orders that began at `began`.
     void orders_read(instant began) { quarantine_.orders_read(began); }
 
-    /// True if targets are held back until the orders are read.
+    /// True if targets are held back until the rollout orders have been read.
     bool waits_for_orders() const;
 
-    /// True if the service has targets and all that are known of it, also those that left the list
-    /// of late, are of this version.
+    /// True if the service has targets and all known ones, including those that left the list
+    /// recently, have this version. Targets of the excluded versions are ignored.
     bool has_only_version(std::string_view service, std::string_view version,
                           const version_set& excluded = {}) const;
 
-    /// The list no longer has this target: it left, crashed, or the list lost it.
+    /// Handles a target that is no longer in the list because it left, crashed, or was lost by the
+    /// list.
     void remove(instant now, std::string_view id);
 
-    /// The target's entry can't be read: it gets nothing, also in need, until one can.
-    void withdraw(std::string_view id);
+    /// Handles a target record that can't be parsed: the target gets no requests, not even as a
+    /// fallback, until a readable record arrives.
+    void mark_unreadable(std::string_view id);
 
-    /// The target's process has started again under its identifier: what was known of its load, its
-    /// failures and its memory ends.
-    void restarted(std::string_view id);
+    /// Handles a restart of the target's process under the same identifier: discards what is known
+    /// of its load, failures, cached prompts, limit and backoff.
+    void on_restarted(std::string_view id);
 
-    /// The target is cold for so long, or longer if that was known.
-    void note_cold(instant now, std::string_view id, microseconds left);
+    /// Marks the target as cold for this long, or keeps a later end that is already known.
+    void mark_cold(instant now, std::string_view id, microseconds remaining);
 
-    /// True if the target is cold, as far as is known.
-    bool is_cold(instant now, std::string_view id) const { return cold_.is_cold(now, id); }
+    /// True if the target is known to be cold.
+    bool is_cold(instant now, std::string_view id) const { return warmup_.is_cold(now, id); }
 
-    /// Looks whether it is known by now how many entries there are.
-    void count_entries(instant now) { cold_.count_entries(now); }
+    /// Updates the number of gateways that share the rate of cold targets.
+    void refresh_gateway_count(instant now) { warmup_.refresh_gateway_count(now); }
 
-    /// What a service's targets bear while they are cold.
+    /// Sets the warm-up limits of a service's targets.
     void set_warmup(instant now, const std::string& service, const target_warmup& warmup) {
-        cold_.set_warmup(now, service, warmup);
+        warmup_.set_warmup(now, service, warmup);
     }
 
-    /// Another process may have given turns at cold engines until now: this one begins anew.
-    void hold_back_turns(instant now) { cold_.hold_back(now); }
+    /// Defers the permits at cold engines, because another process may have issued them until now.
+    void defer_cold_permits(instant now) { warmup_.defer_permits(now); }
 
-    /// The operator wants nothing to go to a failure domain any more, or takes that back. Targets
-    /// of a domain that comes back count as cold, since they may have restarted meanwhile. False if
-    /// that was so already.
-    bool set_emptied(instant now, std::string_view failure_domain, bool emptied);
+    /// Starts or ends the evacuation of a failure domain, which an operator requests. Targets of a
+    /// domain that returns count as cold, since they may have restarted in the meantime. Returns
+    /// false if nothing changed.
+    bool set_evacuated(instant now, std::string_view failure_domain, bool evacuated);
 
-    /// True if nothing may go to this failure domain.
-    bool is_emptied(std::string_view failure_domain) const {
-        return emptied_.contains(failure_domain);
+    /// True if the failure domain is evacuated and gets no requests.
+    bool is_evacuated(std::string_view failure_domain) const {
+        return evacuated_.contains(failure_domain);
     }
 
-    /// Says whether a target may be chosen.
+    /// Returns true if the target may be chosen.
     using target_filter = std::function<bool(std::string_view id)>;
 
-    /// A target for a request without a prompt, which should be answered within the aim, if there
-    /// is one, leaving out those already tried. A target that was silent of late is tried with
-    /// requests that may be repeated; the others go there only in need.
+    /// Chooses a target for a request without a prompt, which should be answered within the
+    /// objective if it is set, and skips those already tried. An unresponsive target is probed with
+    /// requests that are safe to repeat; other requests use it only as a fallback.
     target_choice pick(instant now, std::string_view service, std::span<const std::string> tried,
-                       microseconds aim = {}, bool repeatable = false,
-                       const candidate_limits& limits = {});
+                       microseconds objective = {}, bool repeatable = false,
+                       const candidate_constraints& constraints = {});
 
-    /// An engine for a request with a prompt among those that the filter lets pass, leaving out
+    /// Chooses an engine for a request with a prompt among those that pass the filter, and skips
     /// those already tried.
     target_choice pick_engine(instant now, std::string_view service, const engine_request& request,
                               std::span<const std::string> tried, const target_filter& passes,
-                              turn_owner owner);
-
-    /// Names another source for the engine's copy if this entry knows one that keeps more of the
-    /// prompt than the engine will have.
-    void improve_source(instant now, const engine_request& request, target_choice& choice) const;
-
-    /// The engine whose keeper is asked for a prompt: its session's home by hash among those that
-    /// may be chosen, or any of them if it has no session. Those of the own region go before all
-    /// others unless the session's shared parts take longer to read than the way takes. Empty if
-    /// there is none.
-    std::string_view meeting_engine(instant now, std::string_view service,
-                                    const engine_request& request,
-                                    std::span<const std::string> tried,
-                                    meeting_place place = meeting_place::nearest);
-
-    /// True if the target may be sent requests of the service now, within these limits.
-    bool usable(std::string_view id, std::string_view service,
-                const candidate_limits& limits = {}) const;
-
-    /// True if the service has a target in one of these regions, sound or not: a request that is
-    /// bound to them and finds none free may find one later.
+                              permit_share share);
+
+    /// Replaces the source that the engine copies from if this gateway knows an engine that has
+    /// more of the prompt cached than the chosen engine will have.
+    void improve_copy_source(instant now, const engine_request& request,
+                             target_choice& choice) const;
+
+    /// The engine whose coordinator is asked to place this prompt: the one that the session's hash
+    /// selects among the eligible engines, or a random one if there is no session. Engines of the
+    /// own region come first, unless processing the parts that the session shares takes longer than
+    /// two round trips to another region. Empty if there is no engine.
+    std::string_view rendezvous_engine(instant now, std::string_view service,
+                                       const engine_request& request,
+                                       std::span<const std::string> tried,
+                                       rendezvous_scope scope = rendezvous_scope::nearest);
+
+    /// True if the target currently accepts requests of the service under these constraints.
+    bool is_usable(std::string_view id, std::string_view service,
+                   const candidate_constraints& constraints = {}) const;
+
+    /// True if the service has a target in one of these regions, healthy or not: a request that is
+    /// restricted to them and finds none available may find one later.
     bool has_target_in(std::string_view service, const allowed_regions& regions) const;
 
-    /// True if there is a target that a request may go to, beside those already tried.
-    bool has_another(instant now, std::string_view service, std::span<const std::string> tried,
-                     const candidate_limits& limits);
+    /// True if there is an eligible target besides those already tried.
+    bool has_untried(instant now, std::string_view service, std::span<const std::string> tried,
+                     const candidate_constraints& constraints);
 
-    /// True if a copy of a prompt's memory may go from one engine to another for a request that is
-    /// bound to these regions, or to none. Memory stays in its region: it is made of the prompts
-    /// that were read there, some of which may be bound, and others ask for the same parts.
+    /// True if cached prompt memory may be copied from one engine to another for a request with
+    /// this region restriction. Memory stays in its region, because it is derived from prompts
+    /// processed there, some of which may be restricted to the region, while unrestricted requests
+    /// share the same parts.
     bool may_copy(std::string_view from, std::string_view to, const allowed_regions& regions) const;
 
-    /// The region of a target, for logs and figures; empty if none is known.
+    /// The region of a target, for logs and metrics; empty if it isn't known.
     std::string_view region_of(std::string_view id) const;
 
-    /// The limits that targets name.
-    named_limits& limits() { return limits_; }
+    /// The limits that targets advertise.
+    advertised_limits& limits() { return limits_; }
 
-    /// The service's targets at which this entry has no turn for such a request by what they say of
-    /// themselves.
-    std::vector<std::string> without_turn(instant now, std::string_view service,
-                                          const turn_wish& wish);
+    /// The targets of the service for which this request gets no acceptable permit, because of
+    /// their advertised limits and backoffs.
+    std::vector<std::string> targets_without_permit(instant now, std::string_view service,
+                                                    const permit_request& wanted);
 
-    /// True if one of the service's targets that name limits has a turn for this entry within this
-    /// time.
-    bool has_turn(instant now, std::string_view service, microseconds within);
+    /// True if a target of the service with an advertised limit has a permit for this gateway that
+    /// is due within this time.
+    bool has_permit(instant now, std::string_view service, microseconds within);
 
-    /// When this entry may send to a target again which says something against it now.
-    struct next_turn {
+    /// When this gateway may send to a target again that has a limit or a backoff.
+    struct next_permit {
         microseconds wait{};
-        /// True if the target rests, false if it names a limit.
-        bool rests = false;
+        /// True if the target has asked for a backoff, false if its advertised limit is the reason.
+        bool is_backoff = false;
     };
 
-    /// The soonest among those of the service's targets; nothing if none of them says something.
-    std::optional<next_turn> soonest_turn(instant now, std::string_view service);
-
-    /// Takes this entry's next turn at a target, by what that says of itself. Nothing if there is
-    /// none within this time.
-    std::optional<send_turn> take_turn(instant now, std::string_view id, microseconds longest_wait);
-
-    /// True if a request with this turn may go to the target now: nothing that the target has said
-    /// since forbids it. To be asked at the moment of the send, whatever way led to the target.
-    bool may_send(instant now, std::string_view id, const send_turn& turn) const;
-
-    /// The target says that it leaves: it gets nothing more in this life, whatever the list says.
-    /// True if that is news.
-    bool note_leaving(std::string_view id);
-
-    /// True if the target has said in this life that it leaves.
-    bool says_it_leaves(std::string_view id) const;
-
-    /// The rests that targets have asked this entry for.
-    target_rests& rests() { return rests_; }
-
-    /// A request went to a target.
-    void sent(std::string_view id);
-
-    /// A request is at an engine, which has this much of its prompt to read. Returns the run's
-    /// number there, or zero if the engine isn't known. `all_known` as in engine_placer.
-    std::uint64_t begin_run(instant now, std::string_view id, const engine_request& request,
-                            tokens unread, bool all_known);
-    /// The first event of an answer came from an engine.
-    void first_event(instant now, std::string_view id, std::uint64_t run);
-    /// A whole span of later events came from an engine, within this time.
-    void next_events(instant now, std::string_view id, microseconds span);
-    /// A run at an engine has ended, in whatever way.
-    void end_run(instant now, std::string_view id, std::uint64_t run);
-    /// A request that was sent has ended, in whatever way.
-    void finished(std::string_view id);
-
-    /// The target said how much it has to do.
-    void reported(instant now, std::string_view id, const load_report& load);
-
-    /// The target has been silent for longer than answers take.
-    void silent(instant now, std::string_view id);
-
-    /// The target couldn't be reached or broke off.
-    void failed(instant now, std::string_view id);
-    /// The target answered a request, well or with a failure of its own.
-    void answered(instant now, std::string_view id, bool well);
+    /// The earliest one among the service's targets; no value if none of them makes this gateway
+    /// wait.
+    std::optional<next_permit> earliest_permit(instant now, std::string_view service);
+
+    /// Reserves this gateway's next permit at a target under its advertised limit and backoff.
+    /// Returns no value if none is due within `max_wait`.
+    std::optional<send_permit> reserve_permit(instant now, std::string_view id,
+                                              microseconds max_wait);
+
+    /// True if a request with this permit may be sent to the target now, which is the case unless
+    /// the target has said otherwise since the permit was reserved. Must be checked at the moment
+    /// of sending, however the target was chosen.
+    bool may_send(instant now, std::string_view id, const send_permit& permit) const;
+
+    /// Records that the target announced that it is draining: it gets no new requests until its
+    /// process restarts, whatever the list says. Returns true if this wasn't known before.
+    bool mark_draining(std::string_view id);
+
+    /// True if the target has announced since its last restart that it is draining.
+    bool has_announced_draining(std::string_view id) const;
+
+    /// The backoffs that targets have requested from this gateway.
+    target_backoffs& backoffs() { return backoffs_; }
+
+    /// Counts a request that was sent to a target.
+    void on_sent(std::string_view id);
+
+    /// Records a request that was sent to an engine, which has `uncached_tokens` of the prompt to
+    /// process. Returns the number of the attempt at that engine, or zero if the engine isn't
+    /// known. `all_known` as in engine_placer.
+    std::uint64_t begin_attempt(instant now, std::string_view id, const engine_request& request,
+                                tokens uncached_tokens, bool all_known);
+    /// Records the first event of a response from an engine.
+    void record_first_event(instant now, std::string_view id, std::uint64_t attempt);
+    /// Records that a whole span of later events arrived from an engine within this time.
+    void record_event_span(instant now, std::string_view id, microseconds span);
+    /// Records the end of an attempt at an engine, whatever its outcome.
+    void end_attempt(instant now, std::string_view id, std::uint64_t attempt);
+    /// Records the end of a request that on_sent() counted, whatever its outcome.
+    void on_finished(std::string_view id);
+
+    /// Records the load that the target reported.
+    void on_load_report(instant now, std::string_view id, const load_report& load);
+
+    /// Handles a target that hasn't responded for longer than responses take.
+    void on_unresponsive(instant now, std::string_view id);
+
+    /// Handles a target that couldn't be reached or closed the connection early.
+    void on_failure(instant now, std::string_view id);
+    /// Records the response of a target, which succeeded or was a failure of the target itself.
+    void on_response(instant now, std::string_view id, bool succeeded);
 
     const gateway_target* find(std::string_view id) const;
 
-    /// True if the list has the target.
+    /// True if the target is in the list.
     bool is_listed(std::string_view id) const;
 
-    /// What is believed of a target's load, with the report's age, for logs.
+    /// Describes the estimated load of a target and the age of its last report, for logs.
     std::string describe(instant now, std::string_view id) const;
 
-    /// All targets that are in the list, leaving or not.
+    /// All targets that are in the list, including draining ones.
     std::vector<gateway_target> listed() const;
 
-    /// The targets that left the list and that no request needs any more; they are forgotten.
-    std::vector<std::string> take_forgotten(instant now);
+    /// Removes the targets that left the list a while ago and have no requests in flight. Returns
+    /// their identifiers.
+    std::vector<std::string> expire_unlisted(instant now);
 
 private:
     struct target_state {
         gateway_target target;
-        /// Where its newest entry stands in the list.
-        std::uint64_t position = 0;
+        /// Position of the target's latest record in the list.
+        std::uint64_t list_position = 0;
         bool listed = true;
-        /// True once another target was listed at its address: it can't be reached any more.
+        /// True once a newer target was listed at the same address, so that this one can't be
+        /// reached any more.
         bool replaced = false;
-        /// True while its entry can't be read.
-        bool withdrawn = false;
-        /// True once an answer of this life has said that it leaves.
-        bool says_it_leaves = false;
+        /// True while the target's record can't be parsed.
+        bool unreadable = false;
+        /// True once a response since the last restart has said that the target is draining.
+        bool announced_draining = false;
         instant unlisted_since{};
         unsigned in_flight = 0;
         load_report load;
         instant reported_at{};
-        /// The share of its answers that failed, as of when the last one came.
+        /// The share of its responses that failed, weighted by age, as of the last response or
+        /// failure.
         double failure_rate = 0.0;
-        instant rated_at{};
-        unsigned failures = 0;
+        instant failure_rate_at{};
+        unsigned consecutive_failures = 0;
         instant ejected_until{};
-        /// True from a silence to the next answer.
-        bool silent = false;
+        /// True from a missing response until the next one.
+        bool unresponsive = false;
     };
 
     using states = std::map<std::string, target_state, std::less<>>;
 
     using state_filter = std::function<bool(const target_state& state)>;
 
-    /// The targets that a request may go to, and whether some more are left out as cold.
-    struct candidate_group {
+    /// Eligible targets that a request can use in time.
+    struct permitted_candidates {
         std::vector<target_state*> targets;
-        bool some_cold = false;
+        bool excluded_cold = false;
     };
 
-    void settle_address(target_state& changed);
+    void resolve_address_conflicts(target_state& changed);
     static double failure_rate(const target_state& state, instant now);
-    static void rate(target_state& state, instant now, bool well);
-    bool may_be_chosen(const target_state& state, std::string_view service,
-                       const candidate_limits& limits) const;
-    bool may_hold(const target_state& state, const allowed_regions& regions) const;
+    static void record_outcome(target_state& state, instant now, bool succeeded);
+    bool is_eligible(const target_state& state, std::string_view service,
+                     const candidate_constraints& constraints) const;
+    bool is_in_allowed_region(const target_state& state, const allowed_regions& regions) const;
     std::vector<target_state*> candidates(instant now, std::string_view service,
                                           std::span<const std::string> tried,
-                                          const candidate_limits& limits,
+                                          const candidate_constraints& constraints,
                                           const state_filter& admits);
-    bool is_held_back(const target_state& state, const version_limit& version) const;
-    static void keep_group(std::vector<target_state*>& targets, const version_limit& version);
-    candidate_group with_turns(instant now, std::string_view service,
-                               std::span<const std::string> tried, turn_owner owner,
-                               microseconds longest_wait, const candidate_limits& limits);
-    static void keep_silent_apart(std::vector<target_state*>& targets, bool repeatable);
-    bool is_far(const target_state& state) const;
-    std::string_view copies_within(const target_state& state) const;
-    bool is_worth_the_way(std::string_view service, const prompt_shape& shape) const;
-    void keep_near(std::vector<target_state*>& targets) const;
+    bool is_held_back(const target_state& state, const version_constraint& constraint) const;
+    static void select_group(std::vector<target_state*>& targets,
+                             const version_constraint& constraint);
+    permitted_candidates candidates_with_permits(instant now, std::string_view service,
+                                                 std::span<const std::string> tried,
+                                                 permit_share share, microseconds max_wait,
+                                                 const candidate_constraints& constraints);
+    static void filter_unresponsive(std::vector<target_state*>& targets, bool repeatable);
+    bool is_in_other_region(const target_state& state) const;
+    std::string_view copy_scope_of(const target_state& state) const;
+    bool justifies_remote_region(std::string_view service, const prompt_shape& shape) const;
+    void prefer_own_region(std::vector<target_state*>& targets) const;
     double occupancy(const target_state& state, instant now) const;
-    double plain_cost(const target_state& state, instant now) const;
-    std::vector<engine_source> sources(instant now, std::string_view service,
-                                       const allowed_regions& regions) const;
+    double direct_cost(const target_state& state, instant now) const;
+    std::vector<engine_source> copy_sources(instant now, std::string_view service,
+                                            const allowed_regions& regions) const;
 
     target_pool_settings settings_;
-    bool has_several_regions_;
+    bool has_multiple_regions_;
     random_source& random_;
     states targets_;
-    cold_targets cold_;
-    named_limits limits_;
-    target_rests rests_;
-    /// Failure domains to which nothing may go.
-    std::set<std::string, std::less<>> emptied_;
+    warmup_limiter warmup_;
+    advertised_limits limits_;
+    target_backoffs backoffs_;
+    /// Evacuated failure domains, which get no requests.
+    std::set<std::string, std::less<>> evacuated_;
     version_quarantine quarantine_;
     engine_placer placer_;
 };
--- a/include/wrenswitch/decision/gateway/target_rests.hpp
+++ b/include/wrenswitch/decision/gateway/target_rests.hpp
@@ -10,29 +10,29 @@
 
 namespace wrenswitch {
 
-/// The targets that have turned this entry away and want nothing from it for a time. It is this
-/// entry's alone: a target that sheds some of its load still serves what others send. Nothing waits
-/// for the end of a rest, and each ends a little later than it was asked for: entries that were
-/// turned away together would come back together.
-class target_rests {
+/// The targets that have refused a request of this gateway and asked it to send nothing for some
+/// time. A backoff applies to this gateway only, because a target that sheds part of its load still
+/// serves other gateways. No request is queued until a backoff ends. Each backoff ends slightly
+/// later than requested, so that gateways that were refused together don't return together.
+class target_backoffs {
 public:
-    explicit target_rests(random_source& random) : random_(random) {}
+    explicit target_backoffs(random_source& random) : random_(random) {}
 
-    /// The target wants nothing for so long from now on. Of several rests the last one to end
-    /// counts.
-    void ask(instant now, std::string_view target, microseconds length);
+    /// Records that the target wants no requests for this long from now on. Of several backoffs the
+    /// one that ends last applies.
+    void add(instant now, std::string_view target, microseconds length);
 
-    /// How much longer the target rests; zero if it doesn't.
-    microseconds left(instant now, std::string_view target) const;
+    /// The remaining backoff of the target; zero if there is none.
+    microseconds remaining(instant now, std::string_view target) const;
 
-    /// The target is gone, or its process has started anew.
+    /// Forgets a target that is gone or whose process has restarted.
     void forget(std::string_view target);
 
-    /// False if no target has asked for rest.
-    bool any() const { return !until_.empty(); }
+    /// False if no backoff was recorded.
+    bool has_any() const { return !until_.empty(); }
 
-    /// The targets that rest now.
-    std::size_t size(instant now) const;
+    /// The number of targets whose backoff hasn't ended.
+    std::size_t active_count(instant now) const;
 
 private:
     random_source& random_;
--- a/include/wrenswitch/decision/gateway/target_signals.hpp
+++ b/include/wrenswitch/decision/gateway/target_signals.hpp
@@ -8,22 +8,23 @@
 
 namespace wrenswitch {
 
-/// What a target says of itself with one answer.
+/// What a target reports about itself in the headers of one response.
 struct target_signals {
     std::optional<load_report> load;
-    /// The requests a second that it takes from all entries together. It holds for as long as
-    /// answers name it; an answer that names none says that there is none.
-    std::optional<double> most_per_second;
-    /// What was said of a limit and can't be read, for logs; empty if all was read. Such an answer
-    /// says nothing of a limit, not even that there is none.
+    /// The requests per second that the target accepts from all gateways together. The limit
+    /// applies as long as responses advertise it; a response without one says that there is no
+    /// limit.
+    std::optional<double> max_per_second;
+    /// The text of an advertised limit that couldn't be parsed, for logs; empty otherwise. Such a
+    /// response says nothing about limits, not even that there is none.
     std::string unreadable_limit;
-    /// It gets no new request any more. That holds for the rest of its life, whatever it or the
-    /// list says later.
-    bool leaving = false;
-    /// It turned the request away and wants nothing from this entry for so long.
-    std::optional<microseconds> rest;
-    /// What was said of a rest and can't be read, for logs.
-    std::string unreadable_rest;
+    /// The target accepts no new requests. This holds until its process restarts, whatever it or
+    /// the target list says later.
+    bool draining = false;
+    /// The target refused the request and asks this gateway to send nothing for this long.
+    std::optional<microseconds> backoff;
+    /// The text of a requested backoff that couldn't be parsed, for logs; empty otherwise.
+    std::string unreadable_backoff;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/engine_placer.hpp
+++ b/include/wrenswitch/decision/placement/engine_placer.hpp
@@ -28,7 +28,7 @@
     /// The longest pause between events that is still in time; zero if any is.
     microseconds longest_pause{};
     /// Which engines it may go to.
-    candidate_limits limits;
+    candidate_constraints limits;
     /// What the way from its entry to the engines of the keeper's region and back adds to the time
     /// to the first event.
     microseconds way{};
--- a/include/wrenswitch/decision/rollout/canary_plan.hpp
+++ b/include/wrenswitch/decision/rollout/canary_plan.hpp
@@ -11,7 +11,7 @@
 struct canary_step {
     /// The part of the budget that may be used up by now.
     double part = 0.0;
-    /// The targets of the new version that are used, as in version_limit.
+    /// The targets of the new version that are used, as in version_constraint.
     std::uint32_t group_size = 0;
     std::uint64_t group_seed = 0;
     /// What each of these targets bears, over what each of the old version does; an estimate.
--- a/include/wrenswitch/decision/rollout/rollout_gate.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_gate.hpp
@@ -57,11 +57,12 @@
 
     /// The versions that a request may go to; nothing if there is none right now: after
     /// the deadline there is one again.
-    std::optional<version_limit> limit_for(instant now, const rollout_request& request) const;
+    std::optional<version_constraint> limit_for(instant now, const rollout_request& request) const;
 
     /// The versions that are left for a request whose limit has no candidates. The new one gets it
     /// only within the bound; nothing if the request has to be refused.
-    std::optional<version_limit> limit_without_candidates(const version_limit& limit) const;
+    std::optional<version_constraint> limit_without_candidates(
+        const version_constraint& limit) const;
 
     /// A request goes to a target of this version. To be asked right before the send: false if the
     /// request must not go there any more, since the bound is used up or the phase changed
@@ -106,12 +107,13 @@
     bool has_just_completed(instant now) const;
     bool wanted_by_canary(const rollout_request& request) const;
     double usable_part(instant now, const rollout_request& request) const;
-    version_limit limited(version_rule rule) const {
+    version_constraint limited(version_rule rule) const {
         return {rule, order_.version, 0, 0, excluded_};
     }
-    version_limit only_new() const;
-    version_limit only_old() const { return limited(version_rule::other_than); }
-    std::optional<version_limit> limit_under_way(instant now, const rollout_request& request) const;
+    version_constraint only_new() const;
+    version_constraint only_old() const { return limited(version_rule::other_than); }
+    std::optional<version_constraint> limit_under_way(instant now,
+                                                      const rollout_request& request) const;
     void look_whether_bad();
 
     rollout_order order_;
--- a/include/wrenswitch/decision/rollout/rollout_stand.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_stand.hpp
@@ -36,7 +36,7 @@
     rollout_phase phase = rollout_phase::waiting;
     /// The part of the exposure budget that the canary may use.
     double canary_part = 0.0;
-    /// The targets of the new version that the canary uses, as in version_limit.
+    /// The targets of the new version that the canary uses, as in version_constraint.
     std::uint32_t group_size = 0;
     std::uint64_t group_seed = 0;
     /// How much of the order's time is left, as the decider knows it; zero or less once it is over.
--- a/src/decision/gateway/admission.cpp
+++ b/src/decision/gateway/admission.cpp
@@ -54,7 +54,7 @@
     if (account != nullptr) {
         // Also on a public route, which needs no key: the caller says whose request it is.
         admitted.key_holder = account->name;
-        admitted.regions = allowed_by_both(route->regions, account->regions);
+        admitted.regions = intersect_regions(route->regions, account->regions);
     }
     if (route->is_public || !configuration.wants_keys()) {
         return admitted;
@@ -77,10 +77,10 @@
     }
     allowed_regions regions = admitted.regions;
     if (const gateway_route* route = configuration.route_of(host, path)) {
-        regions = allowed_by_both(regions, route->regions);
+        regions = intersect_regions(regions, route->regions);
     }
     if (const gateway_account* account = configuration.account(admitted.key_holder)) {
-        regions = allowed_by_both(regions, account->regions);
+        regions = intersect_regions(regions, account->regions);
     }
     return regions;
 }
--- a/src/decision/gateway/candidate_limits.cpp
+++ b/src/decision/gateway/candidate_limits.cpp
@@ -5,7 +5,7 @@
 
 namespace wrenswitch {
 
-allowed_regions allowed_by_both(const allowed_regions& left, const allowed_regions& right) {
+allowed_regions intersect_regions(const allowed_regions& left, const allowed_regions& right) {
     if (!left || !right) {
         return left ? left : right;
     }
@@ -15,11 +15,11 @@
     return both;
 }
 
-bool may_be_in(const allowed_regions& allowed, std::string_view region) {
+bool allows_region(const allowed_regions& allowed, std::string_view region) {
     return !allowed || (!region.empty() && allowed->contains(region));
 }
 
-bool version_limit::admits(std::string_view target_version) const {
+bool version_constraint::admits(std::string_view target_version) const {
     if (excluded.contains(target_version)) {
         return false;
     }
--- a/src/decision/gateway/cold_targets.cpp
+++ b/src/decision/gateway/cold_targets.cpp
@@ -7,143 +7,149 @@
 namespace wrenswitch {
 namespace {
 
-/// What an engine's keeper hands out of the rate that a cold engine bears, and what all entries
-/// that can't ask a keeper have beside that, each its share: together a little more than the rate,
-/// and below twice the rate also while members change and two entries keep an engine. After a loss
-/// of all processes every engine is cold, and 48 of them then bear 415 requests a second where 330
-/// come.
-constexpr double kept_part = 0.9;
-constexpr double stand_in_part = 0.15;
+/// Fractions of a cold engine's warm-up rate: what the engine's coordinator issues, and what all
+/// gateways that can't reach it share in addition. Together this is slightly more than the rate,
+/// and less than twice the rate even while the membership changes and two gateways coordinate the
+/// same engine. After the loss of all processes every engine is cold; 48 engines then accept 415
+/// requests per second, while 330 arrive.
+constexpr double coordinator_fraction = 0.9;
+constexpr double fallback_fraction = 0.15;
 
-/// What the entries together send to a cold target that nobody keeps, each its share.
-constexpr double equal_part = 0.8;
+/// Fraction of the warm-up rate that all gateways share at a cold target that every gateway chooses
+/// by itself.
+constexpr double equal_fraction = 0.8;
 
-/// A wait that no request bears.
-constexpr microseconds no_turn = std::chrono::hours(1);
+/// A delay longer than any request waits.
+constexpr microseconds no_permit = std::chrono::hours(1);
 
 }  // namespace
 
-cold_targets::cold_targets(std::function<std::size_t()> entries, random_source& random)
-    : entries_(std::move(entries)), known_entries_(entries_ ? entries_() : 1), random_(random) {}
+warmup_limiter::warmup_limiter(std::function<std::size_t()> gateway_count, random_source& random)
+    : gateway_count_(std::move(gateway_count)),
+      known_gateway_count_(gateway_count_ ? gateway_count_() : 1),
+      random_(random) {}
 
-void cold_targets::count_entries(instant now) {
-    const std::size_t entries = entries_ ? entries_() : 1;
-    if (entries == 0) {
+void warmup_limiter::refresh_gateway_count(instant now) {
+    const std::size_t gateway_count = gateway_count_ ? gateway_count_() : 1;
+    if (gateway_count == 0) {
         return;
     }
-    const bool first_known = std::exchange(known_entries_, entries) == 0;
+    const bool first_known = std::exchange(known_gateway_count_, gateway_count) == 0;
     if (!first_known) {
         return;
     }
     for (auto& [target, state] : targets_) {
-        hold_back(now, state, turn_owner::stand_in);
-        hold_back(now, state, turn_owner::equal);
+        defer_permits(now, state, permit_share::fallback);
+        defer_permits(now, state, permit_share::equal);
     }
 }
 
-void cold_targets::set_warmup(instant now, const std::string& service,
-                              const target_warmup& warmup) {
+void warmup_limiter::set_warmup(instant now, const std::string& service,
+                                const target_warmup& warmup) {
     target_warmup& known = warmups_[service];
     if (known == warmup) {
         return;
     }
     known = warmup;
     for (auto& [target, state] : targets_) {
-        for (const turn_owner owner : turn_owners) {
+        for (const permit_share share : permit_shares) {
             if (state.service == service) {
-                hold_back(now, state, owner);
+                defer_permits(now, state, share);
             }
         }
     }
 }
 
-microseconds cold_targets::warmup_length(std::string_view service) const {
+microseconds warmup_limiter::warmup_duration(std::string_view service) const {
     const auto warmup = warmups_.find(service);
     return warmup == warmups_.end() ? microseconds(0) : warmup->second.length;
 }
 
-void cold_targets::note(instant now, std::string_view target, std::string_view service,
-                        microseconds left) {
-    if (left <= microseconds(0)) {
+void warmup_limiter::mark_cold(instant now, std::string_view target, std::string_view service,
+                               microseconds remaining) {
+    if (remaining <= microseconds(0)) {
         return;
     }
     target_state& state = targets_[std::string(target)];
     state.service = service;
-    for (const turn_owner owner : turn_owners) {
-        state.turns[place_of(owner)].begin(now, now + left, first_turn(service, owner));
+    for (const permit_share share : permit_shares) {
+        state.pacers[index_of(share)].begin(now, now + remaining,
+                                            first_permit_delay(service, share));
     }
 }
 
-void cold_targets::forget(std::string_view target) {
+void warmup_limiter::forget(std::string_view target) {
     const auto found = targets_.find(target);
     if (found != targets_.end()) {
         targets_.erase(found);
     }
 }
 
-bool cold_targets::is_cold(instant now, std::string_view target) const {
+bool warmup_limiter::is_cold(instant now, std::string_view target) const {
     const auto found = targets_.find(target);
-    return found != targets_.end() && found->second.turns.front().is_cold(now);
+    return found != targets_.end() && found->second.pacers.front().is_cold(now);
 }
 
-/// The time between two of the owner's turns. Zero if there is no limit.
-microseconds cold_targets::spacing(std::string_view service, turn_owner owner) const {
+/// The time between two of the share's permits. Zero if there is no limit.
+microseconds warmup_limiter::interval(std::string_view service, permit_share share) const {
     const auto warmup = warmups_.find(service);
     const double rate = warmup == warmups_.end() ? 0.0 : warmup->second.requests_per_second;
     if (rate <= 0.0) {
         return microseconds(0);
     }
     constexpr double microseconds_a_second = 1e6;
-    const double whole = microseconds_a_second / rate;
-    if (owner == turn_owner::keeper) {
-        return microseconds(std::llround(whole / kept_part));
-    }
-    const std::size_t entries = std::max<std::size_t>(1, known_entries_);
-    const double part = owner == turn_owner::equal ? equal_part : stand_in_part;
-    return microseconds(std::llround(whole / part * static_cast<double>(entries)));
+    const double full_interval = microseconds_a_second / rate;
+    if (share == permit_share::coordinator) {
+        return microseconds(std::llround(full_interval / coordinator_fraction));
+    }
+    const std::size_t gateway_count = std::max<std::size_t>(1, known_gateway_count_);
+    const double fraction = share == permit_share::equal ? equal_fraction : fallback_fraction;
+    return microseconds(
+        std::llround(full_interval / fraction * static_cast<double>(gateway_count)));
 }
 
-/// How long the owner's first turn is away. Entries learn of a cold target together: if the first
-/// turns of all fell into less than one spacing, they would send several times their part.
-microseconds cold_targets::first_turn(std::string_view service, turn_owner owner) {
-    const microseconds whole = spacing(service, owner);
-    if (owner == turn_owner::keeper) {
-        return whole;
+/// The delay of the share's first permit. Gateways learn of a cold target at about the same time:
+/// if the first permits of all of them were due in less than one interval, they would send several
+/// times their share.
+microseconds warmup_limiter::first_permit_delay(std::string_view service, permit_share share) {
+    const microseconds full_interval = interval(service, share);
+    if (share == permit_share::coordinator) {
+        return full_interval;
     }
-    return microseconds(std::llround(static_cast<double>(whole.count()) * random_.unit()));
+    return microseconds(std::llround(static_cast<double>(full_interval.count()) * random_.unit()));
 }
 
-void cold_targets::hold_back(instant now, target_state& state, turn_owner owner) {
-    cold_turns& turns = state.turns[place_of(owner)];
-    if (turns.is_cold(now)) {
-        turns.hold_back(now, first_turn(state.service, owner));
+void warmup_limiter::defer_permits(instant now, target_state& state, permit_share share) {
+    warmup_pacer& pacer = state.pacers[index_of(share)];
+    if (pacer.is_cold(now)) {
+        pacer.defer(now, first_permit_delay(state.service, share));
     }
 }
 
-microseconds cold_targets::wait(instant now, std::string_view target, turn_owner owner) const {
+microseconds warmup_limiter::delay(instant now, std::string_view target, permit_share share) const {
     const auto found = targets_.find(target);
-    if (found == targets_.end() || spacing(found->second.service, owner) <= microseconds(0)) {
+    if (found == targets_.end() || interval(found->second.service, share) <= microseconds(0)) {
         return microseconds(0);
     }
-    if (known_entries_ == 0 && owner != turn_owner::keeper && is_cold(now, target)) {
-        return no_turn;
+    if (known_gateway_count_ == 0 && share != permit_share::coordinator && is_cold(now, target)) {
+        return no_permit;
     }
-    return found->second.turns[place_of(owner)].wait(now);
+    return found->second.pacers[index_of(share)].delay(now);
 }
 
-microseconds cold_targets::take(instant now, std::string_view target, turn_owner owner) {
-    const microseconds waits = wait(now, target, owner);
+microseconds warmup_limiter::reserve(instant now, std::string_view target, permit_share share) {
+    const microseconds delay_until_due = delay(now, target, share);
     const auto found = targets_.find(target);
     if (found != targets_.end()) {
         target_state& state = found->second;
-        state.turns[place_of(owner)].take(now, spacing(state.service, owner));
+        state.pacers[index_of(share)].reserve(now, interval(state.service, share));
     }
-    return waits;
+    return delay_until_due;
 }
 
-void cold_targets::hold_back(instant now) {
+void warmup_limiter::defer_permits(instant now) {
     for (auto& [target, state] : targets_) {
-        hold_back(now, state, turn_owner::keeper);
+        defer_permits(now, state, permit_share::coordinator);
     }
 }
 
--- a/src/decision/gateway/cold_turns.cpp
+++ b/src/decision/gateway/cold_turns.cpp
@@ -4,23 +4,23 @@
 
 namespace wrenswitch {
 
-void cold_turns::begin(instant now, instant until, microseconds first_turn) {
+void warmup_pacer::begin(instant now, instant until, microseconds first_permit_delay) {
     if (!is_cold(now)) {
-        next_turn_ = now + first_turn;
+        next_permit_ = now + first_permit_delay;
     }
     cold_until_ = std::max(cold_until_, until);
 }
 
-void cold_turns::hold_back(instant now, microseconds first_turn) {
-    next_turn_ = std::max(next_turn_, now + first_turn);
+void warmup_pacer::defer(instant now, microseconds first_permit_delay) {
+    next_permit_ = std::max(next_permit_, now + first_permit_delay);
 }
 
-microseconds cold_turns::wait(instant now) const {
-    return std::max(microseconds(0), std::min(next_turn_, cold_until_) - now);
+microseconds warmup_pacer::delay(instant now) const {
+    return std::max(microseconds(0), std::min(next_permit_, cold_until_) - now);
 }
 
-void cold_turns::take(instant now, microseconds spacing) {
-    next_turn_ = std::max(next_turn_, now) + spacing;
+void warmup_pacer::reserve(instant now, microseconds interval) {
+    next_permit_ = std::max(next_permit_, now) + interval;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/rollout_gate.cpp
+++ b/src/decision/rollout/rollout_gate.cpp
@@ -117,8 +117,8 @@
     return stand_.phase == rollout_phase::completed && now - stand_at_ < completed_hold;
 }
 
-version_limit rollout_gate::only_new() const {
-    version_limit limit = limited(version_rule::only);
+version_constraint rollout_gate::only_new() const {
+    version_constraint limit = limited(version_rule::only);
     if (stand_.phase == rollout_phase::canary) {
         limit.group_size = stand_.group_size;
         limit.group_seed = stand_.group_seed;
@@ -162,8 +162,8 @@
     return moves || wanted_by_canary(request);
 }
 
-std::optional<version_limit> rollout_gate::limit_for(instant now,
-                                                     const rollout_request& request) const {
+std::optional<version_constraint> rollout_gate::limit_for(instant now,
+                                                          const rollout_request& request) const {
     if (in_force_) {
         return limited(version_rule::any);
     }
@@ -176,8 +176,8 @@
     return stand_.phase == rollout_phase::waiting ? only_old() : limit_under_way(now, request);
 }
 
-std::optional<version_limit> rollout_gate::limit_under_way(instant now,
-                                                           const rollout_request& request) const {
+std::optional<version_constraint> rollout_gate::limit_under_way(
+    instant now, const rollout_request& request) const {
     if (past_deadline(now)) {
         return only_new();
     }
@@ -187,8 +187,8 @@
     return may_expose(now, request) ? only_new() : only_old();
 }
 
-std::optional<version_limit> rollout_gate::limit_without_candidates(
-    const version_limit& limit) const {
+std::optional<version_constraint> rollout_gate::limit_without_candidates(
+    const version_constraint& limit) const {
     if (limit.rule == version_rule::only) {
         return only_old();
     }
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -145,12 +145,12 @@
     const auto answer = whole ? rollout_gate::answer::well : rollout_gate::answer::badly;
     end_attempt(well ? run_end::answered_well : run_end::answered_badly,
                 answer_refused_ ? rollout_gate::answer::silent : answer);
-    context_.targets.answered(monotonic_now(), target_, well);
+    context_.targets.on_response(monotonic_now(), target_, well);
     if (answer_refused_) {
         if (answer_.status == status_misdirected) {
             // Another life of the target has its address.
             context_.targets.remove(monotonic_now(), target_);
-            context_.targets.failed(monotonic_now(), target_);
+            context_.targets.on_failure(monotonic_now(), target_);
         }
         answer_refused();
         return;
@@ -210,7 +210,7 @@
 void forwarded_request::end_attempt(run_end how, rollout_gate::answer answer) {
     call_.reset();
     rollout_.end(answer, stream_.pace());
-    context_.targets.finished(target_);
+    context_.targets.on_finished(target_);
     const placed_run run = std::exchange(run_, {});
     if (run.number != 0) {
         context_.placements.ended(run, how);
@@ -242,7 +242,7 @@
                 {"fingerprint", suspicion_.fingerprint().to_hex()},
                 {"held", std::string(name_of(suspicion_.held()))},
                 {"after_ms", millis_text(monotonic_now() - sent_at_)}});
-    context_.targets.failed(monotonic_now(), target_);
+    context_.targets.on_failure(monotonic_now(), target_);
     if (failure == upstream_failure::not_sent) {
         attempt_unsent();
         return;
--- a/src/roles/gateway/forwarded_choice.cpp
+++ b/src/roles/gateway/forwarded_choice.cpp
@@ -51,8 +51,8 @@
 }
 
 /// What the configuration and a roll-out of the service leave of its targets is what may be chosen.
-void forwarded_request::choose_target(const version_limit& versions) {
-    const candidate_limits limits{admitted_.regions, versions};
+void forwarded_request::choose_target(const version_constraint& versions) {
+    const candidate_constraints limits{admitted_.regions, versions};
     if (!engine_request_) {
         target_chosen(context_.targets.pick(monotonic_now(), admitted_.service, left_out(),
                                             admitted_.route.first_answer_aim,
@@ -78,8 +78,8 @@
 /// The targets that this request doesn't go to now: those already tried, and those to which this
 /// entry may send nothing in time by what they say of themselves.
 std::vector<std::string> forwarded_request::left_out() {
-    std::vector<std::string> all =
-        context_.targets.without_turn(monotonic_now(), admitted_.service, wish_for_turn());
+    std::vector<std::string> all = context_.targets.targets_without_permit(
+        monotonic_now(), admitted_.service, wish_for_turn());
     all.insert(all.end(), history_.tried().begin(), history_.tried().end());
     return all;
 }
@@ -95,7 +95,7 @@
     return aim > microseconds(0) ? aim : usual_turn_wait;
 }
 
-turn_wish forwarded_request::wish_for_turn() const {
+permit_request forwarded_request::wish_for_turn() const {
     const bool leaves_one =
         context_.urgencies.has_more_urgent(monotonic_now(), admitted_.service, admitted_.urgency);
     return {patience_, leaves_one ? bearable_turn_wait() : microseconds(0)};
@@ -106,8 +106,8 @@
         no_target_left(choice.all_cold);
         return;
     }
-    const std::optional<send_turn> taken =
-        context_.targets.take_turn(monotonic_now(), choice.target->id, patience_);
+    const std::optional<send_permit> taken =
+        context_.targets.reserve_permit(monotonic_now(), choice.target->id, patience_);
     if (!taken) {
         // Another request has taken the turn since the engine's keeper was asked.
         context_.counters.counter("gateway_turns_lost_total") += 1;
@@ -115,7 +115,7 @@
         dispatch();
         return;
     }
-    const send_turn turn{std::max(taken->wait, choice.wait), taken->turns_void};
+    const send_permit turn{std::max(taken->wait, choice.wait), taken->limit_epoch};
     if (turn.wait > microseconds(0)) {
         wait_for_turn(choice, run, turn);
     } else {
@@ -126,7 +126,7 @@
 /// A target that is cold or names a limit gets its requests one after the other. The wait is known,
 /// and short enough for the answer to be in time; a refusal would cost the caller its first try.
 void forwarded_request::wait_for_turn(const target_choice& choice, const placed_run& run,
-                                      const send_turn& turn) {
+                                      const send_permit& turn) {
     trace_.add(monotonic_now(), "turn_awaited",
                {{"target", choice.target->id},
                 {"wait_ms", millis_text(turn.wait)},
@@ -146,7 +146,7 @@
 void forwarded_request::turn_came() {
     admitted_.regions =
         regions_now(context_.configuration, admitted_, request_.host, request_.path);
-    if (!context_.targets.usable(turn_->target, admitted_.service, {admitted_.regions, {}})) {
+    if (!context_.targets.is_usable(turn_->target, admitted_.service, {admitted_.regions, {}})) {
         drop_turn();
         dispatch();
         return;
@@ -182,7 +182,7 @@
     if (patience_ > microseconds(0)) {
         return false;
     }
-    if (!context_.targets.has_turn(monotonic_now(), admitted_.service, longest_turn_wait())) {
+    if (!context_.targets.has_permit(monotonic_now(), admitted_.service, longest_turn_wait())) {
         return false;
     }
     patience_ = longest_turn_wait();
@@ -204,13 +204,13 @@
 /// What can't be served in time by what its targets say is refused at once, and told when there is
 /// a turn again.
 void forwarded_request::refuse_without_target(bool all_cold) {
-    const auto soonest = context_.targets.soonest_turn(monotonic_now(), admitted_.service);
+    const auto soonest = context_.targets.earliest_permit(monotonic_now(), admitted_.service);
     if (history_.may_have_run()) {
         fail(status_bad_gateway, "no_target_left");
     } else if (all_cold) {
         refuse(status_unavailable, "targets_cold", until_turns);
     } else if (soonest) {
-        refuse(status_unavailable, soonest->rests ? "targets_resting" : "targets_limited",
+        refuse(status_unavailable, soonest->is_backoff ? "targets_resting" : "targets_limited",
                std::clamp(soonest->wait, until_turns, longest_until_turns));
     } else if (admitted_.regions) {
         refuse(status_unavailable, "no_target_in_allowed_regions", until_targets);
@@ -223,10 +223,10 @@
 /// which has a turn.
 microseconds forwarded_request::until_another_target() {
     const instant now = monotonic_now();
-    if (context_.targets.has_another(now, admitted_.service, left_out(), {admitted_.regions, {}})) {
+    if (context_.targets.has_untried(now, admitted_.service, left_out(), {admitted_.regions, {}})) {
         return until_targets;
     }
-    const auto soonest = context_.targets.soonest_turn(now, admitted_.service);
+    const auto soonest = context_.targets.earliest_permit(now, admitted_.service);
     return soonest ? std::clamp(soonest->wait, until_targets, longest_until_turns) : until_targets;
 }
 
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -233,7 +233,7 @@
 /// The only way to a target. What it has said of itself since it was chosen holds here: a request
 /// that waited for a turn under a limit of fifty a second doesn't go under one of a half.
 void forwarded_request::send_to(const target_choice& choice, const placed_run& run,
-                                const send_turn& turn) {
+                                const send_permit& turn) {
     const gateway_target& target = *choice.target;
     const instant now = monotonic_now();
     if (!context_.targets.may_send(now, target.id, turn)) {
@@ -272,7 +272,7 @@
                {{"target", target_},
                 {"attempt", std::to_string(history_.number())},
                 {"load", context_.targets.describe(now, target_)},
-                {"unread_prompt", std::to_string(choice.unread)},
+                {"unread_prompt", std::to_string(choice.uncached_tokens)},
                 {"copy_from", choice.copy_from == nullptr ? "" : choice.copy_from->id},
                 {"price", describe(choice.price)},
                 {"keeper", run.keeper},
@@ -280,7 +280,7 @@
                 {"left_ms", millis_text(time_left())}});
     run_ = run;
     count_by_region("gateway_sent_by_region_total");
-    context_.targets.sent(target_);
+    context_.targets.on_sent(target_);
     context_.signals.sent(now, target_);
     const std::string_view copy_from =
         choice.copy_from == nullptr ? std::string_view{} : choice.copy_from->address;
@@ -314,11 +314,11 @@
     context_.counters.counter("gateway_targets_silent_total") += 1;
     trace_.add(now, "target_silent",
                {{"target", target_}, {"after_ms", millis_text(now - sent_at_)}});
-    context_.targets.silent(now, target_);
+    context_.targets.on_unresponsive(now, target_);
     if (called_off_ || !may_repeat(admitted_.route.kind)) {
         return;
     }
-    if (!context_.targets.has_another(now, admitted_.service, left_out(),
+    if (!context_.targets.has_untried(now, admitted_.service, left_out(),
                                       {admitted_.regions, {}})) {
         // It may still answer, and nobody else can.
         return;
--- a/src/roles/gateway/forwarded_request.hpp
+++ b/src/roles/gateway/forwarded_request.hpp
@@ -28,7 +28,7 @@
     std::string target;
     std::string copy_from;
     placed_run run;
-    send_turn turn;
+    send_permit turn;
 };
 
 /// One request of a caller, from its arrival to the end of its answer: admits it, pays for it,
@@ -64,14 +64,14 @@
 
     void dispatch();
     void wait_for_versions();
-    void choose_target(const version_limit& versions);
+    void choose_target(const version_constraint& versions);
     void target_chosen(const target_choice& choice, const placed_run& run);
-    void wait_for_turn(const target_choice& choice, const placed_run& run, const send_turn& turn);
+    void wait_for_turn(const target_choice& choice, const placed_run& run, const send_permit& turn);
     void turn_came();
     void drop_turn();
     void give_back(const placed_run& run);
-    void send_to(const target_choice& choice, const placed_run& run, const send_turn& turn);
-    turn_wish wish_for_turn() const;
+    void send_to(const target_choice& choice, const placed_run& run, const send_permit& turn);
+    permit_request wish_for_turn() const;
     std::vector<std::string> left_out();
     microseconds bearable_turn_wait() const;
     microseconds longest_turn_wait() const;
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -41,19 +41,19 @@
     pool.failure_domain = settings.failure_domain;
     pool.regions = settings.regions;
     pool.far_round_trip = settings.far_round_trip;
-    pool.entries = [&members] {
+    pool.gateway_count = [&members] {
         // Its own record is there once the directory was read: without any, nothing is known.
         const std::size_t known = members.members();
         return known == 0 ? 0 : std::max(least_entries, known);
     };
-    pool.sharers.entries = [&members] { return members.members(); };
-    pool.sharers.is_among_first = [&members](std::string_view target, std::size_t count) {
+    pool.peers.gateway_count = [&members] { return members.members(); };
+    pool.peers.is_among_first = [&members](std::string_view target, std::size_t count) {
         const std::vector<ledger_member> first = members.first_for(target, count);
         return std::any_of(first.begin(), first.end(), [&members](const ledger_member& each) {
             return each.host == members.own_host();
         });
     };
-    pool.sharers.version = [&members] { return members.version(); };
+    pool.peers.version = [&members] { return members.version(); };
     return pool;
 }
 
@@ -415,7 +415,7 @@
         }
     }
     const bool emptied = record.value.has_value();
-    if (!targets_.set_emptied(monotonic_now(), failure_domain, emptied)) {
+    if (!targets_.set_evacuated(monotonic_now(), failure_domain, emptied)) {
         return;
     }
     const std::vector<gateway_target> listed = targets_.listed();
@@ -493,7 +493,7 @@
         }
         const bool is_new = target.version == order.version;
         numbers.old_version += is_new ? 0 : 1;
-        numbers.new_version += is_new && !target.leaving ? 1 : 0;
+        numbers.new_version += is_new && !target.draining ? 1 : 0;
     }
     return numbers;
 }
@@ -652,9 +652,9 @@
     ends_.tick(now);
     signals_->tick(now);
     suspects_->tick(now);
-    targets_.count_entries(now);
+    targets_.refresh_gateway_count(now);
     rollouts_.tick(now);
-    for (const std::string& id : targets_.take_forgotten(now)) {
+    for (const std::string& id : targets_.expire_unlisted(now)) {
         pools_.erase(id);
     }
 }
--- a/src/roles/gateway/near_offer.cpp
+++ b/src/roles/gateway/near_offer.cpp
@@ -8,7 +8,7 @@
     offer.run = run;
     offer.target = choice.target->id;
     offer.copy_from = choice.copy_from == nullptr ? "" : choice.copy_from->id;
-    offer.unread = choice.unread;
+    offer.unread = choice.uncached_tokens;
     offer.price = choice.price;
     offer.wait = choice.wait;
     offer.keeper = keeper;
@@ -20,7 +20,7 @@
     target_choice choice;
     choice.target = targets.find(offer.target);
     choice.copy_from = offer.copy_from.empty() ? nullptr : targets.find(offer.copy_from);
-    choice.unread = offer.unread;
+    choice.uncached_tokens = offer.unread;
     choice.price = offer.price;
     choice.wait = offer.wait;
     return choice;
--- a/src/roles/gateway/placement_codec.cpp
+++ b/src/roles/gateway/placement_codec.cpp
@@ -30,14 +30,14 @@
     }
 }
 
-void set_limits(const candidate_limits& limits, wire::PlacementAsk& ask) {
+void set_limits(const candidate_constraints& limits, wire::PlacementAsk& ask) {
     if (limits.regions) {
         ask.set_region_bound(true);
         for (const std::string& region : *limits.regions) {
             ask.add_regions(region);
         }
     }
-    const version_limit& version = limits.version;
+    const version_constraint& version = limits.version;
     ask.set_version_rule(to_wire(version.rule));
     ask.set_version(version.version);
     ask.set_group_size(version.group_size);
@@ -47,8 +47,8 @@
     }
 }
 
-candidate_limits limits_from_wire(const wire::PlacementAsk& ask) {
-    candidate_limits limits;
+candidate_constraints limits_from_wire(const wire::PlacementAsk& ask) {
+    candidate_constraints limits;
     if (ask.region_bound()) {
         limits.regions.emplace(ask.regions().begin(), ask.regions().end());
     }
@@ -113,7 +113,7 @@
     }
     answer.set_target(choice.target->id);
     answer.set_copy_from(choice.copy_from == nullptr ? "" : choice.copy_from->id);
-    answer.set_unread(choice.unread);
+    answer.set_unread(choice.uncached_tokens);
     answer.set_first_event_ms(static_cast<float>(choice.price.first_event_ms));
     answer.set_backlog_ms(static_cast<float>(choice.price.backlog_ms));
     answer.set_pause_ms(static_cast<float>(choice.price.pause_ms));
@@ -128,7 +128,7 @@
     target_choice choice;
     choice.target = targets.find(answer.target());
     choice.copy_from = answer.copy_from().empty() ? nullptr : targets.find(answer.copy_from());
-    choice.unread = answer.unread();
+    choice.uncached_tokens = answer.unread();
     choice.price.first_event_ms = answer.first_event_ms();
     choice.price.backlog_ms = answer.backlog_ms();
     choice.price.pause_ms = answer.pause_ms();
--- a/src/roles/gateway/placement_desk.cpp
+++ b/src/roles/gateway/placement_desk.cpp
@@ -28,14 +28,15 @@
     const target_choice choice = targets_.pick_engine(
         now, service, request, tried,
         [this, now](std::string_view engine) { return may_offer(now, engine); },
-        turn_owner::keeper);
+        permit_share::coordinator);
     if (choice.target == nullptr) {
         counters_.counter("placements_without_engine_total") += 1;
         return choice;
     }
     const std::string& target = choice.target->id;
     const bool sent_now = choice.wait == microseconds(0);
-    const std::uint64_t number = targets_.begin_run(now, target, request, choice.unread, sent_now);
+    const std::uint64_t number =
+        targets_.begin_attempt(now, target, request, choice.uncached_tokens, sent_now);
     runs_.insert_or_assign(
         run, kept_run{target, number, now + std::min(left, longest_lease) + lease_slack});
     counters_.counter("placements_total") += 1;
@@ -54,7 +55,7 @@
     const std::uint64_t changes = keepers_.changes(now);
     if (changes != seen_keepers_) {
         seen_keepers_ = changes;
-        targets_.hold_back_turns(now);
+        targets_.defer_cold_permits(now);
     }
 }
 
@@ -65,13 +66,13 @@
 
 void placement_desk::first_event(instant now, std::uint64_t run) {
     if (const kept_run* kept = find(run)) {
-        targets_.first_event(now, kept->target, kept->number);
+        targets_.record_first_event(now, kept->target, kept->number);
     }
 }
 
 void placement_desk::next_events(instant now, std::uint64_t run, microseconds span) {
     if (const kept_run* kept = find(run)) {
-        targets_.next_events(now, kept->target, span);
+        targets_.record_event_span(now, kept->target, span);
     }
 }
 
@@ -81,9 +82,9 @@
         return;
     }
     if (how == run_end::failed) {
-        targets_.failed(now, kept->target);
+        targets_.on_failure(now, kept->target);
     } else if (how != run_end::left) {
-        targets_.answered(now, kept->target, how == run_end::answered_well);
+        targets_.on_response(now, kept->target, how == run_end::answered_well);
     }
     ended_here(now, run);
 }
@@ -91,7 +92,7 @@
 void placement_desk::ended_here(instant now, std::uint64_t run) {
     const auto found = runs_.find(run);
     if (found != runs_.end()) {
-        targets_.end_run(now, found->second.target, found->second.number);
+        targets_.end_attempt(now, found->second.target, found->second.number);
         runs_.erase(found);
     }
 }
@@ -115,7 +116,7 @@
         const auto run = it++;
         if (run->second.lease_until <= now) {
             counters_.counter("placements_lapsed_total") += 1;
-            targets_.end_run(now, run->second.target, run->second.number);
+            targets_.end_attempt(now, run->second.target, run->second.number);
             runs_.erase(run);
         }
     }
--- a/src/roles/gateway/placement_exchange.cpp
+++ b/src/roles/gateway/placement_exchange.cpp
@@ -68,7 +68,7 @@
     pending_ask wish{
         service, request, {tried.begin(), tried.end()}, left, std::move(chosen), wanted, {}, now,
         {},      {}};
-    const std::string_view home = targets_.meeting_engine(now, service, request, tried);
+    const std::string_view home = targets_.rendezvous_engine(now, service, request, tried);
     const std::optional<ledger_member> keeper =
         home.empty() ? std::nullopt : keepers_.keeper_of(now, home);
     if (!keeper || reach_.is_silent(keeper->host)) {
@@ -128,7 +128,7 @@
     wish.request.way = microseconds(0);
     const target_choice choice = targets_.pick_engine(
         now, wish.service, wish.request, wish.tried, [](std::string_view) { return true; },
-        turn_owner::stand_in);
+        permit_share::fallback);
     if (choice.all_cold && !wish.is_last && !wish.keeper.endpoint.empty() &&
         wish.keeper.host != keepers_.own_host()) {
         wish.is_last = true;
@@ -140,7 +140,7 @@
         counters_.counter("placements_alone_total") += 1;
         placed.target = choice.target->id;
         placed.counted_here =
-            targets_.begin_run(now, placed.target, wish.request, choice.unread, false);
+            targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
     }
     wish.chosen(choice, placed);
 }
@@ -172,8 +172,8 @@
     if (wish.offer || lost < loss_to_ask_afar * stake || now < no_ask_afar_until_) {
         return false;
     }
-    const std::string_view engine = targets_.meeting_engine(
-        now, wish.service, wish.request, wish.tried, meeting_place::another_region);
+    const std::string_view engine = targets_.rendezvous_engine(
+        now, wish.service, wish.request, wish.tried, rendezvous_scope::another_region);
     const std::optional<ledger_member> keeper =
         engine.empty() ? std::nullopt : keepers_.keeper_of(now, engine);
     const bool is_far = keeper && reach_.round_trip(*keeper) > microseconds(0);
@@ -200,7 +200,7 @@
         take_back(offer);
         return;
     }
-    if (!targets_.usable(offer.target, wish.service, wish.request.limits)) {
+    if (!targets_.is_usable(offer.target, wish.service, wish.request.limits)) {
         take_back(offer);
         choose_alone(offer.run, std::move(wish));
         return;
@@ -208,9 +208,9 @@
     target_choice choice = choice_of(offer, targets_);
     placed_run placed = run_of(offer);
     if (!offer.keeper.host.empty()) {
-        targets_.improve_source(now, wish.request, choice);
+        targets_.improve_copy_source(now, wish.request, choice);
         placed.counted_here =
-            targets_.begin_run(now, placed.target, wish.request, choice.unread, false);
+            targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
     }
     wish.chosen(choice, placed);
 }
@@ -268,7 +268,7 @@
 
 bool placement_exchange::may_use(const wire::PlacementAnswer& answer,
                                  const pending_ask& wish) const {
-    return targets_.usable(answer.target(), wish.service, wish.request.limits) &&
+    return targets_.is_usable(answer.target(), wish.service, wish.request.limits) &&
            std::find(wish.tried.begin(), wish.tried.end(), answer.target()) == wish.tried.end();
 }
 
@@ -329,9 +329,9 @@
     if (is_near && ask_afar(offer, wish)) {
         return;
     }
-    targets_.improve_source(now, wish.request, choice);
+    targets_.improve_copy_source(now, wish.request, choice);
     placed.counted_here =
-        targets_.begin_run(now, placed.target, wish.request, choice.unread, false);
+        targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
     wish.chosen(choice, placed);
 }
 
@@ -343,7 +343,7 @@
     }
     counters_.counter("placement_copies_forbidden_total") += 1;
     choice.copy_from = nullptr;
-    choice.unread = request.shape.prompt;
+    choice.uncached_tokens = request.shape.prompt;
 }
 
 /// A keeper of another region answered while one of the own region holds a place: the better one is
@@ -364,15 +364,15 @@
     take_back(*wish.offer);
     target_choice choice = from_wire(answer, targets_);
     drop_forbidden_copy(wish.request, choice);
-    placed.counted_here =
-        targets_.begin_run(monotonic_now(), placed.target, wish.request, choice.unread, false);
+    placed.counted_here = targets_.begin_attempt(monotonic_now(), placed.target, wish.request,
+                                                 choice.uncached_tokens, false);
     wish.chosen(choice, placed);
 }
 
 void placement_exchange::first_event(const placed_run& run) {
     const instant now = monotonic_now();
     if (run.counted_here != 0) {
-        targets_.first_event(now, run.target, run.counted_here);
+        targets_.record_first_event(now, run.target, run.counted_here);
     }
     if (run.keeper_endpoint.empty()) {
         desk_.first_event(now, run.number);
@@ -387,7 +387,7 @@
 void placement_exchange::next_events(placed_run& run, microseconds span) {
     const instant now = monotonic_now();
     if (run.counted_here != 0) {
-        targets_.next_events(now, run.target, span);
+        targets_.record_event_span(now, run.target, span);
     }
     if (run.keeper_endpoint.empty()) {
         desk_.next_events(now, run.number, span);
@@ -398,7 +398,7 @@
 
 void placement_exchange::ended(const placed_run& run, run_end how) {
     const instant now = monotonic_now();
-    targets_.end_run(now, run.target, run.counted_here);
+    targets_.end_attempt(now, run.target, run.counted_here);
     if (run.keeper_endpoint.empty()) {
         desk_.ended_here(now, run.number);
         return;
--- a/src/roles/gateway/request_rollout.cpp
+++ b/src/roles/gateway/request_rollout.cpp
@@ -14,8 +14,8 @@
     most_attempts_ = route.most_attempts;
 }
 
-std::optional<version_limit> request_rollout::choose_versions(instant now, unsigned attempt,
-                                                              bool suspected) {
+std::optional<version_constraint> request_rollout::choose_versions(instant now, unsigned attempt,
+                                                                   bool suspected) {
     const rollout_gate* gate = rollouts_.gate_of(service_);
     limit_ = {};
     if (gate == nullptr) {
@@ -25,19 +25,19 @@
     // Another attempt has to be left for it.
     request_.can_move = may_repeat_ && attempt < most_attempts_;
     request_.in_need = false;
-    std::optional<version_limit> limit = gate->limit_for(now, request_);
-    limit_ = limit.value_or(version_limit{});
+    std::optional<version_constraint> limit = gate->limit_for(now, request_);
+    limit_ = limit.value_or(version_constraint{});
     return limit;
 }
 
-std::optional<version_limit> request_rollout::look_further(bool all_cold) {
+std::optional<version_constraint> request_rollout::look_further(bool all_cold) {
     const rollout_gate* gate = rollouts_.gate_of(service_);
     const bool may_wait = all_cold && limit_.rule != version_rule::only;
     if (gate == nullptr || may_wait || std::exchange(request_.in_need, true)) {
         return std::nullopt;
     }
-    std::optional<version_limit> limit = gate->limit_without_candidates(limit_);
-    limit_ = limit.value_or(version_limit{});
+    std::optional<version_constraint> limit = gate->limit_without_candidates(limit_);
+    limit_ = limit.value_or(version_constraint{});
     return limit;
 }
 
--- a/src/roles/gateway/request_rollout.hpp
+++ b/src/roles/gateway/request_rollout.hpp
@@ -23,12 +23,12 @@
     /// right now. Begins the choice of a target anew. A request that may have ended targets isn't
     /// tried at an unproved version: if it ends well at another, the version was to blame, and if
     /// not, the version isn't blamed for it.
-    std::optional<version_limit> choose_versions(instant now, unsigned attempt,
-                                                 bool suspected = false);
+    std::optional<version_constraint> choose_versions(instant now, unsigned attempt,
+                                                      bool suspected = false);
 
     /// No target of the versions chosen can be had, `all_cold` as in target_choice. The versions to
     /// look among instead, or nothing.
-    std::optional<version_limit> look_further(bool all_cold);
+    std::optional<version_constraint> look_further(bool all_cold);
 
     /// An attempt is about to be sent to a target. False if it must not go there any more: the
     /// versions are to be chosen again.
@@ -53,7 +53,7 @@
     entry_rollouts& rollouts_;
     std::string service_;
     rollout_request request_;
-    version_limit limit_;
+    version_constraint limit_;
     bool may_repeat_ = false;
     unsigned most_attempts_ = 1;
     /// The order under which it has been counted as having reached a target: once, however often
--- a/src/roles/gateway/signal_exchange.cpp
+++ b/src/roles/gateway/signal_exchange.cpp
@@ -31,15 +31,15 @@
     return per_second ? std::to_string(*per_second) : "none";
 }
 
-std::string_view event_name(limit_news news) {
+std::string_view event_name(limit_change news) {
     switch (news) {
-        case limit_news::none:
+        case limit_change::none:
             return "target_limit_unchanged";
-        case limit_news::named:
+        case limit_change::added:
             return "target_limit_named";
-        case limit_news::changed:
+        case limit_change::changed:
             return "target_limit_changed";
-        case limit_news::ended:
+        case limit_change::removed:
             return "target_limit_ended";
     }
     return "target_limit_unchanged";
@@ -78,18 +78,18 @@
         return;
     }
     if (signals.load) {
-        targets_.reported(now, life.target, *signals.load);
+        targets_.on_load_report(now, life.target, *signals.load);
     }
     limit_heard(now, life, sent, request, signals);
     rest_heard(now, life, request, signals);
-    if (signals.leaving) {
+    if (signals.draining) {
         leaving_heard(now, life, request);
     }
 }
 
 void signal_exchange::leaving_heard(instant now, const target_life& life,
                                     std::string_view request) {
-    if (!targets_.note_leaving(life.target)) {
+    if (!targets_.mark_draining(life.target)) {
         return;
     }
     counters_.counter("gateway_targets_leaving_by_signal_total") += 1;
@@ -102,20 +102,20 @@
 
 void signal_exchange::rest_heard(instant now, const target_life& life, std::string_view request,
                                  const target_signals& signals) {
-    if (!signals.unreadable_rest.empty()) {
+    if (!signals.unreadable_backoff.empty()) {
         counters_.counter("gateway_target_rests_unreadable_total") += 1;
         events_.routine("target_rest_unreadable",
                         {{"target", life.target},
                          {"request", std::string(request)},
-                         {"said", signals.unreadable_rest.substr(0, most_told_bytes)}});
+                         {"said", signals.unreadable_backoff.substr(0, most_told_bytes)}});
     }
-    if (!signals.rest) {
+    if (!signals.backoff) {
         return;
     }
-    targets_.rests().ask(now, life.target, *signals.rest);
+    targets_.backoffs().add(now, life.target, *signals.backoff);
     counters_.counter("gateway_target_rests_total") += 1;
     events_.routine("target_wants_rest", {{"target", life.target},
-                                          {"rest_ms", millis_text(*signals.rest)},
+                                          {"rest_ms", millis_text(*signals.backoff)},
                                           {"request", std::string(request)},
                                           {"load", targets_.describe(now, life.target)}});
 }
@@ -128,23 +128,23 @@
                         {{"target", life.target},
                          {"request", std::string(request)},
                          {"said", signals.unreadable_limit.substr(0, most_told_bytes)}});
-        if (!signals.most_per_second) {
+        if (!signals.max_per_second) {
             return;
         }
     }
     const std::optional<double> before = targets_.limits().limit_of(life.target);
-    const limit_news news =
-        targets_.limits().heard(now, life.target, sent, signals.most_per_second);
-    if (news == limit_news::none) {
+    const limit_change news =
+        targets_.limits().on_response(now, life.target, sent, signals.max_per_second);
+    if (news == limit_change::none) {
         return;
     }
     counters_.counter("gateway_target_limit_changes_total") += 1;
     events_.routine(
         event_name(news),
         {{"target", life.target},
-         {"limit", limit_text(signals.most_per_second)},
+         {"limit", limit_text(signals.max_per_second)},
          {"limit_before", limit_text(before)},
-         {"sent_lately", std::to_string(targets_.limits().sent_lately(now, life.target))},
+         {"sent_lately", std::to_string(targets_.limits().recent_sends(now, life.target))},
          {"known_from", "answer"},
          {"request", std::string(request)},
          {"sent_ago_ms", millis_text(now - sent)}});
@@ -153,7 +153,7 @@
 
 void signal_exchange::sent(instant now, std::string_view target) {
     if (targets_.limits().limit_of(target)) {
-        targets_.limits().note_sent(now, target);
+        targets_.limits().record_sent(now, target);
         counters_.counter("gateway_sends_to_limited_targets_total") += 1;
     }
 }
@@ -189,8 +189,8 @@
     wire::TargetSignals told;
     for (const std::string& id : targets) {
         const gateway_target* target = targets_.find(id);
-        const auto belief = targets_.limits().belief_of(id);
-        const bool leaving = targets_.says_it_leaves(id);
+        const auto belief = targets_.limits().known_limit_of(id);
+        const bool leaving = targets_.has_announced_draining(id);
         if (target == nullptr || (!belief && !leaving) ||
             told.signals_size() >= most_signals_in_a_message) {
             continue;
@@ -242,7 +242,7 @@
             counters_.counter("gateway_target_signals_unused_total") += 1;
             continue;
         }
-        if (signal.leaving() && targets_.note_leaving(signal.target())) {
+        if (signal.leaving() && targets_.mark_draining(signal.target())) {
             counters_.counter("gateway_targets_leaving_by_signal_total") += 1;
             events_.routine("target_says_it_leaves",
                             {{"target", signal.target()}, {"known_from", "other entry"}});
@@ -258,8 +258,9 @@
         signal.has_most_per_second() ? std::optional(signal.most_per_second()) : std::nullopt;
     const microseconds age(static_cast<std::int64_t>(signal.age_us()));
     const std::optional<double> before = targets_.limits().limit_of(signal.target());
-    const limit_news change = targets_.limits().told(now, signal.target(), now - age, limit);
-    if (change == limit_news::none) {
+    const limit_change change =
+        targets_.limits().on_peer_report(now, signal.target(), now - age, limit);
+    if (change == limit_change::none) {
         return;
     }
     counters_.counter("gateway_target_limit_changes_total") += 1;
@@ -273,10 +274,10 @@
 /// An entry that sends nothing to a limited target never hears itself that the limit has ended.
 void signal_exchange::ask_senders(instant now) {
     std::map<std::string, wire::Envelope> asks;
-    for (const std::string& target : targets_.limits().unheard(now, longest_unheard)) {
+    for (const std::string& target : targets_.limits().stale_targets(now, longest_unheard)) {
         const double limit = targets_.limits().limit_of(target).value_or(0.0);
         std::vector<ledger_member> senders =
-            members_.first_for(target, named_limits::most_senders(limit));
+            members_.first_for(target, advertised_limits::max_senders(limit));
         std::erase_if(senders, [this](const ledger_member& each) {
             return each.host == members_.own_host();
         });
@@ -292,8 +293,10 @@
 }
 
 void signal_exchange::tick(instant now) {
-    counters_.gauge("gateway_targets_limited") = static_cast<double>(targets_.limits().size());
-    counters_.gauge("gateway_targets_resting") = static_cast<double>(targets_.rests().size(now));
+    counters_.gauge("gateway_targets_limited") =
+        static_cast<double>(targets_.limits().active_count());
+    counters_.gauge("gateway_targets_resting") =
+        static_cast<double>(targets_.backoffs().active_count(now));
     if (now >= next_ask_) {
         next_ask_ = now + ask_period;
         ask_senders(now);
--- a/src/roles/gateway/target_ends.cpp
+++ b/src/roles/gateway/target_ends.cpp
@@ -46,7 +46,7 @@
 void target_ends::broke(instant now, const target_life& life, const digest& request) {
     counters_.counter("gateway_runs_broken_total") += 1;
     const gateway_target* target = targets_.find(life.target);
-    if (target == nullptr || target->leaving || !targets_.is_listed(life.target)) {
+    if (target == nullptr || target->draining || !targets_.is_listed(life.target)) {
         return;
     }
     runs_.broke(now, life, request);
--- a/src/roles/gateway/target_list.cpp
+++ b/src/roles/gateway/target_list.cpp
@@ -42,7 +42,7 @@
 /// Told when it turns unreadable or is so in another way, not with each beat.
 void target_list::unreadable(const keyed_record& record, const std::string& why) {
     counters_.counter("gateway_targets_unreadable_total") += 1;
-    targets_.withdraw(record.key);
+    targets_.mark_unreadable(record.key);
     std::string told = why.substr(0, most_told_bytes);
     std::replace(told.begin(), told.end(), '\n', ';');
     std::string& before = unreadable_[record.key];
@@ -76,7 +76,7 @@
                    {"started", started_text(target)},
                    {"started_before", started_text(*known)},
                    {"dropped", targets_.describe(monotonic_now(), target.id)}});
-        targets_.restarted(target.id);
+        targets_.on_restarted(target.id);
         hooks_.restarted(target.id);
     }
     if (again || known->address != target.address) {
@@ -98,9 +98,9 @@
     const bool restarted = look_for_restart(target, known);
     // A restored store reuses offsets, so they can't order entries.
     targets_.apply(target, ++entry_sequence_);
-    targets_.note_cold(now, target.id, entry.cold_left);
+    targets_.mark_cold(now, target.id, entry.cold_remaining);
     if (is_new || restarted) {
-        targets_.hold_back_new_version(now, target.id);
+        targets_.quarantine_new_version(now, target.id);
     }
     if (news) {
         log_event(log_level::information, "target_listed",
@@ -108,8 +108,8 @@
                    {"service", target.service},
                    {"address", target.address},
                    {"started", started_text(target)},
-                   {"leaving", target.leaving ? "yes" : "no"},
-                   {"cold_ms", millis_text(entry.cold_left)}});
+                   {"leaving", target.draining ? "yes" : "no"},
+                   {"cold_ms", millis_text(entry.cold_remaining)}});
     }
 }
 
--- a/tests/decision/gateway/cold_turns_test.cpp
+++ b/tests/decision/gateway/cold_turns_test.cpp
@@ -7,72 +7,72 @@
 using namespace wrenswitch;
 
 constexpr instant now{seconds(50)};
-constexpr microseconds spacing = milliseconds(125);
+constexpr microseconds interval = milliseconds(125);
 
-/// A target that has just turned cold for three seconds.
-struct cold_turns_fixture {
-    cold_turns turns;
+/// The pacer of a target that has just become cold for three seconds.
+struct warmup_pacer_fixture {
+    warmup_pacer pacer;
 
-    cold_turns_fixture() { turns.begin(now, now + seconds(3), spacing); }
+    warmup_pacer_fixture() { pacer.begin(now, now + seconds(3), interval); }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(cold_turns_test, cold_turns_fixture)
+BOOST_FIXTURE_TEST_SUITE(warmup_pacer_test, warmup_pacer_fixture)
 
-BOOST_AUTO_TEST_CASE(warm_target_has_no_wait) {
-    cold_turns warm;
+BOOST_AUTO_TEST_CASE(warm_target_has_no_delay) {
+    warmup_pacer warm;
     BOOST_TEST(!warm.is_cold(now));
-    warm.take(now, spacing);
-    BOOST_TEST((warm.wait(now) == microseconds(0)));
+    warm.reserve(now, interval);
+    BOOST_TEST((warm.delay(now) == microseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(target_that_just_turned_cold_has_no_turn_yet) {
-    BOOST_TEST((turns.wait(now) == spacing));
-    BOOST_TEST((turns.wait(now + spacing) == microseconds(0)));
+BOOST_AUTO_TEST_CASE(target_that_just_became_cold_has_no_permit_yet) {
+    BOOST_TEST((pacer.delay(now) == interval));
+    BOOST_TEST((pacer.delay(now + interval) == microseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(requests_that_come_together_are_sent_one_after_the_other) {
-    for (int place = 1; place <= 10; ++place) {
-        BOOST_TEST((turns.wait(now) == place * spacing));
-        turns.take(now, spacing);
+BOOST_AUTO_TEST_CASE(simultaneous_requests_get_consecutive_permits) {
+    for (int position = 1; position <= 10; ++position) {
+        BOOST_TEST((pacer.delay(now) == position * interval));
+        pacer.reserve(now, interval);
     }
 }
 
-BOOST_AUTO_TEST_CASE(turns_that_nobody_used_do_not_pile_up) {
+BOOST_AUTO_TEST_CASE(unused_permits_do_not_accumulate) {
     const instant later = now + seconds(2);
-    turns.take(later, spacing);
-    BOOST_TEST((turns.wait(later) == spacing));
+    pacer.reserve(later, interval);
+    BOOST_TEST((pacer.delay(later) == interval));
 }
 
-BOOST_AUTO_TEST_CASE(target_is_warm_once_its_time_has_passed) {
-    BOOST_TEST(turns.is_cold(now + milliseconds(2999)));
-    BOOST_TEST(!turns.is_cold(now + seconds(3)));
-    for (int place = 0; place < 100; ++place) {
-        turns.take(now, spacing);
+BOOST_AUTO_TEST_CASE(target_is_warm_after_its_warmup) {
+    BOOST_TEST(pacer.is_cold(now + milliseconds(2999)));
+    BOOST_TEST(!pacer.is_cold(now + seconds(3)));
+    for (int position = 0; position < 100; ++position) {
+        pacer.reserve(now, interval);
     }
-    BOOST_TEST((turns.wait(now) == seconds(3)));
-    BOOST_TEST((turns.wait(now + seconds(3)) == microseconds(0)));
+    BOOST_TEST((pacer.delay(now) == seconds(3)));
+    BOOST_TEST((pacer.delay(now + seconds(3)) == microseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(news_of_the_same_cold_time_gives_no_new_turns) {
-    turns.take(now, spacing);
-    turns.begin(now + milliseconds(1), now + milliseconds(2900), microseconds(0));
-    BOOST_TEST((turns.wait(now) == 2 * spacing));
-    BOOST_TEST(turns.is_cold(now + milliseconds(2950)));
+BOOST_AUTO_TEST_CASE(repeated_report_of_the_same_warmup_gives_no_new_permits) {
+    pacer.reserve(now, interval);
+    pacer.begin(now + milliseconds(1), now + milliseconds(2900), microseconds(0));
+    BOOST_TEST((pacer.delay(now) == 2 * interval));
+    BOOST_TEST(pacer.is_cold(now + milliseconds(2950)));
 }
 
-BOOST_AUTO_TEST_CASE(longer_cold_time_counts) {
-    turns.begin(now + seconds(1), now + seconds(9), spacing);
-    BOOST_TEST(turns.is_cold(now + seconds(8)));
+BOOST_AUTO_TEST_CASE(longer_warmup_extends_the_cold_period) {
+    pacer.begin(now + seconds(1), now + seconds(9), interval);
+    BOOST_TEST(pacer.is_cold(now + seconds(8)));
 }
 
-BOOST_AUTO_TEST_CASE(turns_that_others_may_have_given_are_not_given_again) {
-    turns.hold_back(now + seconds(1), spacing);
-    BOOST_TEST((turns.wait(now + seconds(1)) == spacing));
-    turns.take(now + seconds(1), spacing);
-    turns.hold_back(now + seconds(1), spacing);
-    BOOST_TEST((turns.wait(now + seconds(1)) == 2 * spacing));
+BOOST_AUTO_TEST_CASE(permits_that_others_may_have_issued_are_not_issued_again) {
+    pacer.defer(now + seconds(1), interval);
+    BOOST_TEST((pacer.delay(now + seconds(1)) == interval));
+    pacer.reserve(now + seconds(1), interval);
+    pacer.defer(now + seconds(1), interval);
+    BOOST_TEST((pacer.delay(now + seconds(1)) == 2 * interval));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/gateway/region_table_test.cpp
+++ b/tests/decision/gateway/region_table_test.cpp
@@ -30,7 +30,7 @@
     BOOST_TEST(table.are_near("x", "x"));
     BOOST_TEST(!table.are_near("x", "y"));
     BOOST_TEST(!table.are_near("x", "n1"));
-    BOOST_TEST(!may_be_in(region_set{"north", ""}, table.region_of("x")));
+    BOOST_TEST(!allows_region(region_set{"north", ""}, table.region_of("x")));
 }
 
 BOOST_AUTO_TEST_CASE(domains_of_one_region_are_near_each_other) {
@@ -42,12 +42,12 @@
 BOOST_AUTO_TEST_CASE(limits_of_route_and_account_both_bind) {
     const allowed_regions north{{"north", "west"}};
     const allowed_regions south{{"south", "west"}};
-    const allowed_regions both = allowed_by_both(north, south);
-    BOOST_TEST(may_be_in(both, "west"));
-    BOOST_TEST(!may_be_in(both, "north"));
-    BOOST_TEST(may_be_in(allowed_by_both(std::nullopt, north), "north"));
-    BOOST_TEST(may_be_in(allowed_by_both(std::nullopt, std::nullopt), ""));
-    BOOST_TEST(!may_be_in(region_set{}, "north"));
+    const allowed_regions both = intersect_regions(north, south);
+    BOOST_TEST(allows_region(both, "west"));
+    BOOST_TEST(!allows_region(both, "north"));
+    BOOST_TEST(allows_region(intersect_regions(std::nullopt, north), "north"));
+    BOOST_TEST(allows_region(intersect_regions(std::nullopt, std::nullopt), ""));
+    BOOST_TEST(!allows_region(region_set{}, "north"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/gateway/target_pool_test.cpp
+++ b/tests/decision/gateway/target_pool_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr instant now{seconds(50)};
 
-/// Three targets of a plain service in two failure domains, and four engines.
+/// A pool with three targets of a plain service in two failure domains, and four engines.
 struct pool_fixture {
     random_source random{3};
     target_pool_settings settings;
@@ -43,10 +43,11 @@
     static target_choice choose(target_pool& from, const engine_request& request,
                                 instant at = now) {
         return from.pick_engine(
-            at, "engine", request, {}, [](std::string_view) { return true; }, turn_owner::keeper);
+            at, "engine", request, {}, [](std::string_view) { return true; },
+            permit_share::coordinator);
     }
 
-    void send_to(const char* id) { pool->sent(id); }
+    void send_to(const char* id) { pool->on_sent(id); }
 
     static engine_request prompt(std::uint64_t session, std::uint64_t own) {
         engine_request request;
@@ -69,38 +70,38 @@
 
 BOOST_AUTO_TEST_CASE(idle_targets_of_the_own_domain_are_preferred) {
     std::set<std::string> chosen;
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
         chosen.insert(pick());
     }
     BOOST_TEST((chosen == std::set<std::string>{"p1", "p2"}));
 }
 
-BOOST_AUTO_TEST_CASE(target_whose_address_has_another_is_not_used) {
-    gateway_target old = target("old", "other", "d1");
-    gateway_target young = target("young", "other", "d1");
-    old.address = young.address = "127.0.0.1:7";
-    pool->apply(old, 3);
+BOOST_AUTO_TEST_CASE(target_whose_address_was_taken_over_is_not_used) {
+    gateway_target older = target("old", "other", "d1");
+    gateway_target newer = target("young", "other", "d1");
+    older.address = newer.address = "127.0.0.1:7";
+    pool->apply(older, 3);
     BOOST_TEST(pick("other") == "old");
-    pool->apply(young, 9);
-    for (int turn = 0; turn < 20; ++turn) {
+    pool->apply(newer, 9);
+    for (int attempt = 0; attempt < 20; ++attempt) {
         BOOST_TEST(pick("other") == "young");
     }
     BOOST_TEST(pick("other", {"young"}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(target_listed_last_is_used_in_whatever_order_the_list_comes) {
-    gateway_target old = target("old", "other", "d1");
-    gateway_target young = target("young", "other", "d1");
-    old.address = young.address = "127.0.0.1:7";
-    pool->apply(young, 9);
-    pool->apply(old, 3);
-    for (int turn = 0; turn < 20; ++turn) {
+BOOST_AUTO_TEST_CASE(latest_target_at_address_is_used_in_any_order_of_records) {
+    gateway_target older = target("old", "other", "d1");
+    gateway_target newer = target("young", "other", "d1");
+    older.address = newer.address = "127.0.0.1:7";
+    pool->apply(newer, 9);
+    pool->apply(older, 3);
+    for (int attempt = 0; attempt < 20; ++attempt) {
         BOOST_TEST(pick("other") == "young");
     }
 }
 
 BOOST_AUTO_TEST_CASE(busy_target_is_avoided) {
-    for (int turn = 0; turn < 3; ++turn) {
+    for (int attempt = 0; attempt < 3; ++attempt) {
         send_to("p1");
         send_to("p2");
     }
@@ -108,24 +109,24 @@
 }
 
 BOOST_AUTO_TEST_CASE(reported_load_counts_only_while_fresh) {
-    pool->reported(now, "p1", {6, 4, 6, false});
-    pool->reported(now, "p2", {6, 4, 6, false});
+    pool->on_load_report(now, "p1", {6, 4, 6, false});
+    pool->on_load_report(now, "p2", {6, 4, 6, false});
     BOOST_TEST(pick() == "p3");
-    BOOST_TEST(pick("plain", {}, now + settings.report_life + seconds(1)) != "p3");
+    BOOST_TEST(pick("plain", {}, now + settings.report_lifetime + seconds(1)) != "p3");
 }
 
-BOOST_AUTO_TEST_CASE(leaving_target_gets_nothing) {
-    gateway_target leaving = target("p1", "plain", "d1");
-    leaving.leaving = true;
-    pool->apply(leaving);
-    for (int turn = 0; turn < 50; ++turn) {
+BOOST_AUTO_TEST_CASE(draining_target_gets_no_requests) {
+    gateway_target draining = target("p1", "plain", "d1");
+    draining.draining = true;
+    pool->apply(draining);
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick() != "p1");
     }
 }
 
-BOOST_AUTO_TEST_CASE(unlisted_target_gets_nothing_while_others_are_listed) {
+BOOST_AUTO_TEST_CASE(unlisted_target_gets_no_requests_while_others_are_listed) {
     pool->remove(now, "p1");
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick() != "p1");
     }
 }
@@ -137,17 +138,17 @@
     BOOST_TEST(!pick().empty());
 }
 
-BOOST_AUTO_TEST_CASE(tried_targets_are_left_out) {
+BOOST_AUTO_TEST_CASE(tried_targets_are_skipped) {
     BOOST_TEST(pick("plain", {"p1", "p2"}) == "p3");
     BOOST_TEST(pick("plain", {"p1", "p2", "p3"}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(failed_target_rests_and_comes_back) {
-    pool->failed(now, "p1");
-    pool->failed(now, "p2");
+BOOST_AUTO_TEST_CASE(failed_target_is_ejected_and_returns) {
+    pool->on_failure(now, "p1");
+    pool->on_failure(now, "p2");
     BOOST_TEST(pick() == "p3");
     std::set<std::string> later;
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         later.insert(pick("plain", {}, now + seconds(30)));
     }
     BOOST_TEST(later.contains("p1"));
@@ -155,42 +156,42 @@
 
 BOOST_AUTO_TEST_CASE(all_failed_targets_are_still_offered) {
     for (const char* id : {"p1", "p2", "p3"}) {
-        pool->failed(now, id);
+        pool->on_failure(now, id);
     }
     BOOST_TEST(!pick().empty());
 }
 
 BOOST_AUTO_TEST_CASE(target_that_fails_its_requests_is_avoided) {
-    for (int turn = 0; turn < 10; ++turn) {
-        pool->answered(now, "p1", false);
+    for (int attempt = 0; attempt < 10; ++attempt) {
+        pool->on_response(now, "p1", false);
     }
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick() != "p1");
     }
 }
 
 BOOST_AUTO_TEST_CASE(old_failures_of_a_target_are_forgotten) {
-    for (int turn = 0; turn < 10; ++turn) {
-        pool->answered(now, "p1", false);
+    for (int attempt = 0; attempt < 10; ++attempt) {
+        pool->on_response(now, "p1", false);
     }
     std::set<std::string> later;
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         later.insert(pick("plain", {}, now + seconds(60)));
     }
     BOOST_TEST(later.contains("p1"));
 }
 
-BOOST_AUTO_TEST_CASE(target_that_breaks_off_is_avoided_beyond_its_rest) {
-    for (int turn = 0; turn < 4; ++turn) {
-        pool->failed(now, "p1");
-        pool->answered(now, "p1", true);
+BOOST_AUTO_TEST_CASE(target_that_fails_repeatedly_is_avoided_beyond_its_ejection) {
+    for (int attempt = 0; attempt < 4; ++attempt) {
+        pool->on_failure(now, "p1");
+        pool->on_response(now, "p1", true);
     }
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick("plain", {}, now + milliseconds(1500)) != "p1");
     }
 }
 
-BOOST_AUTO_TEST_CASE(requests_of_one_session_meet_at_one_engine) {
+BOOST_AUTO_TEST_CASE(requests_of_one_session_use_the_same_engine) {
     const std::string first = pick_engine(prompt(77, 1));
     for (std::uint64_t own = 2; own < 30; ++own) {
         BOOST_TEST(pick_engine(prompt(77, own)) == first);
@@ -205,43 +206,45 @@
     BOOST_TEST(chosen.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(two_entries_choose_the_same_engine_without_talking) {
+BOOST_AUTO_TEST_CASE(two_gateways_choose_the_same_engine_without_communication) {
     random_source other_random(99);
     target_pool other(settings, other_random);
     for (const char* id : {"e4", "e2", "e1", "e3"}) {
         other.apply(target(id, "engine", "d1"));
     }
     for (std::uint64_t session = 10; session < 40; ++session) {
-        const engine_request asked = prompt(session, 5);
-        const target_choice chosen = choose(other, asked);
+        const engine_request request = prompt(session, 5);
+        const target_choice chosen = choose(other, request);
         BOOST_TEST(chosen.target->id == pick_engine(prompt(session, 6)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(engine_with_a_long_prompt_to_read_is_avoided) {
+BOOST_AUTO_TEST_CASE(engine_that_processes_long_prompt_is_avoided) {
     const std::string home = pick_engine(prompt(77, 1));
-    const engine_request asked = long_prompt();
-    pool->begin_run(now, home, asked, asked.shape.prompt, true);
+    const engine_request request = long_prompt();
+    pool->begin_attempt(now, home, request, request.shape.prompt, true);
     BOOST_TEST(pick_engine(prompt(77, 2)) != home);
 }
 
-BOOST_AUTO_TEST_CASE(read_prompt_no_longer_counts) {
+BOOST_AUTO_TEST_CASE(processed_prompt_no_longer_counts_as_load) {
     const std::string home = pick_engine(prompt(77, 1));
-    const engine_request asked = long_prompt();
-    const std::uint64_t run = pool->begin_run(now, home, asked, asked.shape.prompt, true);
-    pool->first_event(now, home, run);
-    pool->end_run(now, home, run);
+    const engine_request request = long_prompt();
+    const std::uint64_t attempt_number =
+        pool->begin_attempt(now, home, request, request.shape.prompt, true);
+    pool->record_first_event(now, home, attempt_number);
+    pool->end_attempt(now, home, attempt_number);
     BOOST_TEST(pick_engine(prompt(77, 2)) == home);
 }
 
-BOOST_AUTO_TEST_CASE(engine_copies_from_one_that_leaves) {
-    engine_request asked = prompt(77, 1);
-    asked.engine.copy_ms_per_token = 0.002;
-    const std::string home = pick_engine(asked);
-    pool->end_run(now, home, pool->begin_run(now, home, asked, asked.shape.prompt, true));
-    gateway_target leaving = target(home.c_str(), "engine", "d1");
-    leaving.leaving = true;
-    pool->apply(leaving);
+BOOST_AUTO_TEST_CASE(engine_copies_from_draining_engine) {
+    engine_request request = prompt(77, 1);
+    request.engine.copy_ms_per_token = 0.002;
+    const std::string home = pick_engine(request);
+    pool->end_attempt(now, home,
+                      pool->begin_attempt(now, home, request, request.shape.prompt, true));
+    gateway_target draining = target(home.c_str(), "engine", "d1");
+    draining.draining = true;
+    pool->apply(draining);
     engine_request next = prompt(77, 2);
     next.engine.copy_ms_per_token = 0.002;
     const target_choice choice = choose(*pool, next);
@@ -250,35 +253,36 @@
     BOOST_TEST(choice.copy_from->id == home);
 }
 
-BOOST_AUTO_TEST_CASE(source_that_the_keeper_did_not_know_is_named_for_the_copy) {
+BOOST_AUTO_TEST_CASE(copy_source_known_only_to_this_gateway_is_used) {
     engine_request first = prompt(77, 1);
     first.engine.copy_ms_per_token = 0.002;
-    pool->begin_run(now, "e1", first, first.shape.prompt, false);
+    pool->begin_attempt(now, "e1", first, first.shape.prompt, false);
     engine_request next = prompt(77, 2);
     next.engine.copy_ms_per_token = 0.002;
     target_choice choice;
     choice.target = pool->find("e2");
-    choice.unread = next.shape.prompt;
-    pool->improve_source(now, next, choice);
+    choice.uncached_tokens = next.shape.prompt;
+    pool->improve_copy_source(now, next, choice);
     BOOST_REQUIRE(choice.copy_from != nullptr);
     BOOST_TEST(choice.copy_from->id == "e1");
-    BOOST_TEST(choice.unread == 1000);
+    BOOST_TEST(choice.uncached_tokens == 1000);
 }
 
-BOOST_AUTO_TEST_CASE(source_is_left_as_it_is_if_little_would_be_gained) {
+BOOST_AUTO_TEST_CASE(copy_source_is_unchanged_if_little_would_be_gained) {
     engine_request first = prompt(77, 1);
     first.engine.copy_ms_per_token = 0.002;
-    pool->begin_run(now, "e1", first, first.shape.prompt, false);
+    pool->begin_attempt(now, "e1", first, first.shape.prompt, false);
     target_choice choice;
     choice.target = pool->find("e2");
-    // The engine will have the shared parts; the last one is the request's own.
-    choice.unread = 1000;
-    pool->improve_source(now, first, choice);
+    // The engine will have the shared parts cached; only the last part, which is unique to the
+    // request, is missing.
+    choice.uncached_tokens = 1000;
+    pool->improve_copy_source(now, first, choice);
     BOOST_TEST((choice.copy_from == nullptr));
-    // Engines that can't copy read.
-    engine_request reads = prompt(77, 2);
-    choice.unread = reads.shape.prompt;
-    pool->improve_source(now, reads, choice);
+    // Engines that can't copy process the prompt themselves.
+    engine_request without_copying = prompt(77, 2);
+    choice.uncached_tokens = without_copying.shape.prompt;
+    pool->improve_copy_source(now, without_copying, choice);
     BOOST_TEST((choice.copy_from == nullptr));
 }
 
@@ -286,109 +290,109 @@
     for (std::uint64_t session = 10; session < 40; ++session) {
         const target_choice choice = pool->pick_engine(
             now, "engine", prompt(session, 1), {}, [](std::string_view id) { return id == "e3"; },
-            turn_owner::keeper);
+            permit_share::coordinator);
         BOOST_TEST(choice.target->id == "e3");
     }
     BOOST_TEST((pool->pick_engine(
                         now, "engine", prompt(1, 1), {}, [](std::string_view) { return false; },
-                        turn_owner::keeper)
+                        permit_share::coordinator)
                     .target == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(prompts_without_a_session_meet_at_any_engine) {
-    engine_request lone = prompt(1, 1);
-    lone.shape.parts.clear();
-    std::set<std::string_view> met;
-    for (int turn = 0; turn < 100; ++turn) {
-        met.insert(pool->meeting_engine(now, "engine", lone, {}));
+BOOST_AUTO_TEST_CASE(prompts_without_session_use_any_rendezvous_engine) {
+    engine_request without_session = prompt(1, 1);
+    without_session.shape.parts.clear();
+    std::set<std::string_view> found;
+    for (int attempt = 0; attempt < 100; ++attempt) {
+        found.insert(pool->rendezvous_engine(now, "engine", without_session, {}));
     }
-    BOOST_TEST(met.size() == 4U);
+    BOOST_TEST(found.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(session_meets_at_the_engine_that_is_chosen_while_all_are_idle) {
+BOOST_AUTO_TEST_CASE(rendezvous_engine_of_session_is_the_chosen_one_while_all_are_idle) {
     for (std::uint64_t session = 10; session < 40; ++session) {
-        const engine_request asked = prompt(session, 5);
-        BOOST_TEST(pool->meeting_engine(now, "engine", asked, {}) == pick_engine(asked));
+        const engine_request request = prompt(session, 5);
+        BOOST_TEST(pool->rendezvous_engine(now, "engine", request, {}) == pick_engine(request));
     }
-    BOOST_TEST(pool->meeting_engine(now, "unknown", prompt(1, 2), {}).empty());
+    BOOST_TEST(pool->rendezvous_engine(now, "unknown", prompt(1, 2), {}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(leaving_unlisted_or_foreign_target_is_not_usable) {
-    BOOST_TEST(pool->usable("e1", "engine"));
-    BOOST_TEST(!pool->usable("e1", "plain"));
-    BOOST_TEST(!pool->usable("unknown", "engine"));
+BOOST_AUTO_TEST_CASE(draining_unlisted_or_foreign_target_is_not_usable) {
+    BOOST_TEST(pool->is_usable("e1", "engine"));
+    BOOST_TEST(!pool->is_usable("e1", "plain"));
+    BOOST_TEST(!pool->is_usable("unknown", "engine"));
     pool->remove(now, "e1");
-    BOOST_TEST(!pool->usable("e1", "engine"));
-    gateway_target leaving = target("e2", "engine", "d1");
-    leaving.leaving = true;
-    pool->apply(leaving);
-    BOOST_TEST(!pool->usable("e2", "engine"));
+    BOOST_TEST(!pool->is_usable("e1", "engine"));
+    gateway_target draining = target("e2", "engine", "d1");
+    draining.draining = true;
+    pool->apply(draining);
+    BOOST_TEST(!pool->is_usable("e2", "engine"));
 }
 
-BOOST_AUTO_TEST_CASE(silent_target_gets_only_requests_that_may_be_repeated) {
-    pool->silent(now, "p1");
+BOOST_AUTO_TEST_CASE(unresponsive_target_gets_only_repeatable_requests) {
+    pool->on_unresponsive(now, "p1");
     const instant later = now + seconds(1);
-    for (int turn = 0; turn < 50; ++turn) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick("plain", {}, later) != "p1");
     }
     BOOST_TEST(pool->pick(later, "plain", {}, {}, true).target->id == "p1");
-    // One at a time: while it is out, the next goes elsewhere.
+    // Only one probe at a time: while it is in flight, the next request goes elsewhere.
     send_to("p1");
     BOOST_TEST(pool->pick(later, "plain", {}, {}, true).target->id != "p1");
-    pool->finished("p1");
-    pool->answered(later, "p1", true);
+    pool->on_finished("p1");
+    pool->on_response(later, "p1", true);
     std::set<std::string> chosen;
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
         chosen.insert(pick("plain", {}, later + seconds(30)));
     }
     BOOST_TEST(chosen.contains("p1"));
 }
 
-BOOST_AUTO_TEST_CASE(silent_targets_are_used_if_all_are_silent) {
+BOOST_AUTO_TEST_CASE(unresponsive_targets_are_used_if_all_are_unresponsive) {
     for (const char* id : {"p1", "p2", "p3"}) {
-        pool->silent(now, id);
+        pool->on_unresponsive(now, id);
     }
     BOOST_TEST(!pick().empty());
     BOOST_TEST(!pick("plain", {}, now + seconds(1)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(emptied_domain_gets_nothing_until_it_is_back) {
-    BOOST_TEST(pool->set_emptied(now, "d1", true));
-    BOOST_TEST(!pool->set_emptied(now, "d1", true));
-    for (int turn = 0; turn < 50; ++turn) {
+BOOST_AUTO_TEST_CASE(evacuated_domain_gets_no_requests_until_evacuation_ends) {
+    BOOST_TEST(pool->set_evacuated(now, "d1", true));
+    BOOST_TEST(!pool->set_evacuated(now, "d1", true));
+    for (int attempt = 0; attempt < 50; ++attempt) {
         BOOST_TEST(pick() == "p3");
     }
     BOOST_TEST((choose(*pool, prompt(7, 8)).target == nullptr));
-    BOOST_TEST(pool->meeting_engine(now, "engine", prompt(7, 8), {}).empty());
-    BOOST_TEST(!pool->usable("e1", "engine"));
-    BOOST_TEST(pool->set_emptied(now, "d1", false));
-    BOOST_TEST(!pool->set_emptied(now, "d1", false));
+    BOOST_TEST(pool->rendezvous_engine(now, "engine", prompt(7, 8), {}).empty());
+    BOOST_TEST(!pool->is_usable("e1", "engine"));
+    BOOST_TEST(pool->set_evacuated(now, "d1", false));
+    BOOST_TEST(!pool->set_evacuated(now, "d1", false));
     BOOST_TEST((choose(*pool, prompt(7, 8)).target != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(emptied_domain_binds_targets_that_are_listed_later_or_lost_by_the_list) {
-    pool->set_emptied(now, "d3", true);
+BOOST_AUTO_TEST_CASE(evacuation_applies_to_targets_listed_later_and_to_unlisted_ones) {
+    pool->set_evacuated(now, "d3", true);
     pool->apply(target("e9", "late", "d3"));
     BOOST_TEST(pick("late").empty());
     pool->remove(now, "e9");
     BOOST_TEST(pick("late").empty());
 }
 
-BOOST_AUTO_TEST_CASE(two_domains_are_emptied_and_back_each_by_itself) {
-    pool->set_emptied(now, "d1", true);
-    pool->set_emptied(now, "d2", true);
+BOOST_AUTO_TEST_CASE(two_domains_are_evacuated_and_restored_independently) {
+    pool->set_evacuated(now, "d1", true);
+    pool->set_evacuated(now, "d2", true);
     BOOST_TEST(pick().empty());
-    pool->set_emptied(now, "d2", false);
+    pool->set_evacuated(now, "d2", false);
     BOOST_TEST(pick() == "p3");
-    BOOST_TEST(pool->is_emptied("d1"));
+    BOOST_TEST(pool->is_evacuated("d1"));
 }
 
-BOOST_AUTO_TEST_CASE(engines_of_a_domain_that_is_back_count_as_cold) {
+BOOST_AUTO_TEST_CASE(engines_count_as_cold_after_evacuation_ends) {
     pool->set_warmup(now, "engine", {seconds(3), 10.0});
-    pool->set_emptied(now, "d1", true);
-    pool->set_emptied(now, "d1", false);
-    // Four engines with nine turns a second each, of which none is there at once. What
-    // doesn't get one within its aim of 600 ms is refused.
+    pool->set_evacuated(now, "d1", true);
+    pool->set_evacuated(now, "d1", false);
+    // Four engines with nine permits a second each, none of which is available at once. A request
+    // that gets none within its objective of 600 ms is refused.
     std::map<std::string, std::vector<instant>> sent;
     unsigned refused = 0;
     for (int ms = 0; ms < 1000; ms += 5) {
@@ -404,48 +408,48 @@
     BOOST_TEST(sent.size() == 4U);
     for (const auto& [engine, times] : sent) {
         BOOST_TEST((times.front() >= now + microseconds(111'111)));
-        for (std::size_t at = 1; at < times.size(); ++at) {
-            BOOST_TEST((times[at] - times[at - 1] >= microseconds(111'111)));
+        for (std::size_t index = 1; index < times.size(); ++index) {
+            BOOST_TEST((times[index] - times[index - 1] >= microseconds(111'111)));
         }
     }
     BOOST_TEST((choose(*pool, prompt(7, 8), now + seconds(3)).wait == microseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(new_keeper_does_not_give_turns_that_its_predecessor_gave) {
+BOOST_AUTO_TEST_CASE(new_coordinator_does_not_issue_permits_of_its_predecessor) {
     pool->set_warmup(now, "engine", {seconds(3), 10.0});
-    pool->note_cold(now, "e1", seconds(3));
-    pool->hold_back_turns(now + seconds(1));
-    engine_request only = prompt(7, 8);
+    pool->mark_cold(now, "e1", seconds(3));
+    pool->defer_cold_permits(now + seconds(1));
+    engine_request request = prompt(7, 8);
     const target_choice choice = pool->pick_engine(
-        now + seconds(1), "engine", only, {}, [](std::string_view id) { return id == "e1"; },
-        turn_owner::keeper);
+        now + seconds(1), "engine", request, {}, [](std::string_view id) { return id == "e1"; },
+        permit_share::coordinator);
     BOOST_TEST((choice.wait == microseconds(111'111)));
 }
 
-BOOST_AUTO_TEST_CASE(cold_engine_leaves_its_surplus_to_warm_ones) {
+BOOST_AUTO_TEST_CASE(requests_beyond_the_rate_of_cold_engine_go_to_warm_ones) {
     pool->set_warmup(now, "engine", {seconds(3), 10.0});
-    pool->note_cold(now, "e1", seconds(3));
-    unsigned cold = 0;
-    for (std::uint64_t turn = 0; turn < 200; ++turn) {
-        const instant at = now + milliseconds(5 * turn);
-        cold += pick_engine(prompt(100 + turn, turn), at) == "e1" ? 1 : 0;
+    pool->mark_cold(now, "e1", seconds(3));
+    unsigned sent_to_cold = 0;
+    for (std::uint64_t attempt = 0; attempt < 200; ++attempt) {
+        const instant at = now + milliseconds(5 * attempt);
+        sent_to_cold += pick_engine(prompt(100 + attempt, attempt), at) == "e1" ? 1 : 0;
     }
-    BOOST_TEST(cold <= 12U);
+    BOOST_TEST(sent_to_cold <= 12U);
 }
 
-BOOST_AUTO_TEST_CASE(entries_that_choose_alone_share_what_a_cold_target_bears) {
-    // 26 entries that all know of it at the same moment and press on for three seconds.
+BOOST_AUTO_TEST_CASE(gateways_that_choose_independently_share_rate_of_cold_target) {
+    // 26 gateways learn of the cold target at the same moment and send requests for three seconds.
     std::map<int, unsigned> by_second;
-    for (std::uint64_t entry = 0; entry < 26; ++entry) {
-        random_source own(entry + 1);
+    for (std::uint64_t gateway = 0; gateway < 26; ++gateway) {
+        random_source own(gateway + 1);
         target_pool_settings shared;
-        shared.entries = [] { return 26U; };
-        target_pool alone(shared, own);
-        alone.apply(target("c1", "cold", "d1"));
-        alone.set_warmup(now, "cold", {seconds(3), 9.6});
-        alone.note_cold(now, "c1", seconds(3));
+        shared.gateway_count = [] { return 26U; };
+        target_pool gateway_pool(shared, own);
+        gateway_pool.apply(target("c1", "cold", "d1"));
+        gateway_pool.set_warmup(now, "cold", {seconds(3), 9.6});
+        gateway_pool.mark_cold(now, "c1", seconds(3));
         for (int ms = 0; ms < 3000; ms += 5) {
-            const target_choice choice = alone.pick(now + milliseconds(ms), "cold", {});
+            const target_choice choice = gateway_pool.pick(now + milliseconds(ms), "cold", {});
             if (choice.target != nullptr) {
                 by_second[static_cast<int>(as_seconds(milliseconds(ms) + choice.wait))] += 1;
             }
@@ -458,60 +462,62 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(entries_that_can_not_ask_a_keeper_share_a_small_part_of_the_rate) {
-    // Of 9.6 a second 0.15 are theirs, 1.4 a second for all 26 together.
+BOOST_AUTO_TEST_CASE(gateways_that_can_not_reach_coordinator_share_small_part_of_the_rate) {
+    // These gateways share 0.15 of a rate of 9.6 per second: 1.4 requests per second for all 26
+    // together.
     unsigned sent = 0;
-    for (std::uint64_t entry = 0; entry < 26; ++entry) {
-        random_source own(entry + 1);
+    for (std::uint64_t gateway = 0; gateway < 26; ++gateway) {
+        random_source own(gateway + 1);
         target_pool_settings shared;
-        shared.entries = [] { return 26U; };
-        target_pool alone(shared, own);
-        alone.apply(target("c1", "engine", "d1"));
-        alone.set_warmup(now, "engine", {seconds(3), 9.6});
-        alone.note_cold(now, "c1", seconds(3));
+        shared.gateway_count = [] { return 26U; };
+        target_pool gateway_pool(shared, own);
+        gateway_pool.apply(target("c1", "engine", "d1"));
+        gateway_pool.set_warmup(now, "engine", {seconds(3), 9.6});
+        gateway_pool.mark_cold(now, "c1", seconds(3));
         for (int ms = 0; ms < 2400; ms += 5) {
-            const target_choice choice = alone.pick_engine(
+            const target_choice choice = gateway_pool.pick_engine(
                 now + milliseconds(ms), "engine", prompt(7, 8), {},
-                [](std::string_view) { return true; }, turn_owner::stand_in);
+                [](std::string_view) { return true; }, permit_share::fallback);
             sent += choice.target != nullptr ? 1 : 0;
         }
     }
     BOOST_TEST(sent <= 12U);
 }
 
-BOOST_AUTO_TEST_CASE(cold_target_that_is_known_before_its_bound_gives_no_turn_at_once) {
+BOOST_AUTO_TEST_CASE(cold_target_known_before_its_warmup_rate_gives_no_immediate_permit) {
     unsigned sent = 0;
-    for (std::uint64_t entry = 0; entry < 26; ++entry) {
-        random_source own(entry + 1);
+    for (std::uint64_t gateway = 0; gateway < 26; ++gateway) {
+        random_source own(gateway + 1);
         target_pool_settings shared;
-        shared.entries = [] { return 26U; };
-        target_pool starting(shared, own);
-        starting.apply(target("c1", "cold", "d1"));
-        starting.note_cold(now, "c1", seconds(3));
-        starting.set_warmup(now, "cold", {seconds(3), 9.6});
-        const target_choice choice = starting.pick(now, "cold", {});
+        shared.gateway_count = [] { return 26U; };
+        target_pool gateway_pool(shared, own);
+        gateway_pool.apply(target("c1", "cold", "d1"));
+        gateway_pool.mark_cold(now, "c1", seconds(3));
+        gateway_pool.set_warmup(now, "cold", {seconds(3), 9.6});
+        const target_choice choice = gateway_pool.pick(now, "cold", {});
         sent += choice.target != nullptr && choice.wait < milliseconds(100) ? 1 : 0;
     }
     BOOST_TEST(sent <= 5U);
 }
 
-BOOST_AUTO_TEST_CASE(entries_that_do_not_know_each_other_yet_send_nothing_to_a_cold_target) {
-    // 26 entries that start together, know of a cold target at once and of each other after 200 ms.
+BOOST_AUTO_TEST_CASE(gateways_that_do_not_know_each_other_send_nothing_to_cold_target) {
+    // 26 gateways start together and know the cold target at once, but each other only after 200
+    // ms.
     std::map<int, unsigned> by_second;
-    for (std::uint64_t entry = 0; entry < 26; ++entry) {
-        random_source own(entry + 1);
+    for (std::uint64_t gateway = 0; gateway < 26; ++gateway) {
+        random_source own(gateway + 1);
         std::size_t known = 0;
         target_pool_settings shared;
-        shared.entries = [&known] { return known; };
-        target_pool starting(shared, own);
-        starting.apply(target("c1", "cold", "d1"));
-        starting.set_warmup(now, "cold", {seconds(3), 9.6});
-        starting.note_cold(now, "c1", seconds(3));
+        shared.gateway_count = [&known] { return known; };
+        target_pool gateway_pool(shared, own);
+        gateway_pool.apply(target("c1", "cold", "d1"));
+        gateway_pool.set_warmup(now, "cold", {seconds(3), 9.6});
+        gateway_pool.mark_cold(now, "c1", seconds(3));
         for (int ms = 0; ms < 3000; ms += 5) {
             known = ms < 200 ? 0 : 26;
             const instant at = now + milliseconds(ms);
-            starting.count_entries(at);
-            const target_choice choice = starting.pick(at, "cold", {});
+            gateway_pool.refresh_gateway_count(at);
+            const target_choice choice = gateway_pool.pick(at, "cold", {});
             BOOST_TEST((choice.target == nullptr || known > 0));
             BOOST_TEST((choice.target != nullptr || choice.all_cold));
             if (choice.target != nullptr) {
@@ -525,41 +531,41 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(directory_that_is_found_empty_gives_no_entry_more_of_a_cold_target) {
-    // 26 entries that know of nobody from the second second on. Each has a turn in 3.4 s, and waits
-    // end where the target is warm.
+BOOST_AUTO_TEST_CASE(directory_found_empty_does_not_raise_share_of_cold_target) {
+    // 26 gateways find the directory empty after the first second. Each has a permit every 3.4 s,
+    // and no wait lasts beyond the end of the warm-up.
     unsigned sent = 0;
-    for (std::uint64_t entry = 0; entry < 26; ++entry) {
-        random_source own(entry + 1);
+    for (std::uint64_t gateway = 0; gateway < 26; ++gateway) {
+        random_source own(gateway + 1);
         std::size_t known = 26;
         target_pool_settings shared;
-        shared.entries = [&known] { return known; };
-        target_pool forgetful(shared, own);
-        forgetful.apply(target("c1", "cold", "d1"));
-        forgetful.set_warmup(now, "cold", {seconds(3), 9.6});
-        forgetful.note_cold(now, "c1", seconds(3));
+        shared.gateway_count = [&known] { return known; };
+        target_pool gateway_pool(shared, own);
+        gateway_pool.apply(target("c1", "cold", "d1"));
+        gateway_pool.set_warmup(now, "cold", {seconds(3), 9.6});
+        gateway_pool.mark_cold(now, "c1", seconds(3));
         for (int ms = 0; ms < 2600; ms += 5) {
             known = ms < 1000 ? 26 : 0;
             const instant at = now + milliseconds(ms);
-            forgetful.count_entries(at);
-            sent += forgetful.pick(at, "cold", {}).target != nullptr ? 1 : 0;
+            gateway_pool.refresh_gateway_count(at);
+            sent += gateway_pool.pick(at, "cold", {}).target != nullptr ? 1 : 0;
         }
     }
     BOOST_TEST(sent >= 10U);
     BOOST_TEST(sent <= 26U);
 }
 
-BOOST_AUTO_TEST_CASE(service_without_a_bound_has_no_cold_targets) {
-    pool->note_cold(now, "p3", seconds(3));
-    for (int turn = 0; turn < 20; ++turn) {
+BOOST_AUTO_TEST_CASE(service_without_warmup_rate_does_not_limit_cold_targets) {
+    pool->mark_cold(now, "p3", seconds(3));
+    for (int attempt = 0; attempt < 20; ++attempt) {
         BOOST_TEST(pick("plain", {"p1", "p2"}) == "p3");
     }
 }
 
-BOOST_AUTO_TEST_CASE(unlisted_idle_target_is_forgotten_after_a_while) {
+BOOST_AUTO_TEST_CASE(unlisted_idle_target_expires) {
     pool->remove(now, "p1");
-    BOOST_TEST(pool->take_forgotten(now).empty());
-    BOOST_TEST(pool->take_forgotten(now + seconds(60)).size() == 1U);
+    BOOST_TEST(pool->expire_unlisted(now).empty());
+    BOOST_TEST(pool->expire_unlisted(now + seconds(60)).size() == 1U);
     BOOST_TEST(pool->find("p1") == nullptr);
 }
 
--- a/tests/decision/gateway/target_versions_test.cpp
+++ b/tests/decision/gateway/target_versions_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr instant now{seconds(50)};
 
-/// Six targets of "v1" and six of "v2" at two pools that know nothing of each other.
+/// Six targets of "v1" and six of "v2" in two pools that share no state.
 struct versions_fixture {
     random_source random{3};
     random_source other_random{8};
@@ -31,26 +31,26 @@
         return {id, "app", "127.0.0.1:" + id, "d1", 6, false, version};
     }
 
-    static std::string pick(target_pool& from, const version_limit& limit,
+    static std::string pick(target_pool& from, const version_constraint& constraint,
                             std::vector<std::string> tried = {}) {
-        const target_choice choice = from.pick(now, "app", tried, {}, false, {{}, limit});
+        const target_choice choice = from.pick(now, "app", tried, {}, false, {{}, constraint});
         return choice.target == nullptr ? "" : choice.target->id;
     }
 
-    static std::set<std::string> picked(target_pool& from, const version_limit& limit) {
-        std::set<std::string> all;
-        for (int turn = 0; turn < 300; ++turn) {
-            all.insert(pick(from, limit));
+    static std::set<std::string> picked(target_pool& from, const version_constraint& constraint) {
+        std::set<std::string> found;
+        for (int attempt = 0; attempt < 300; ++attempt) {
+            found.insert(pick(from, constraint));
         }
-        return all;
+        return found;
     }
 
-    static engine_request prompt(const version_limit& limit) {
+    static engine_request prompt(const version_constraint& constraint) {
         engine_request request;
         request.shape = {3000, 100, 50, {{1, 1000}, {2, 1000}, {3, 1000}}};
         request.engine = {3, 200'000, 0.01};
         request.first_event_aim = milliseconds(600);
-        request.limits.version = limit;
+        request.limits.version = constraint;
         return request;
     }
 };
@@ -59,9 +59,9 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(target_versions_test, versions_fixture)
+BOOST_FIXTURE_TEST_SUITE(target_pool_versions_test, versions_fixture)
 
-BOOST_AUTO_TEST_CASE(limit_admits_the_versions_that_it_says) {
+BOOST_AUTO_TEST_CASE(constraint_admits_only_its_versions) {
     for (const std::string& id : picked(pool, {version_rule::only, "v2", 0, 0, {}})) {
         BOOST_TEST(id.starts_with("v2"));
     }
@@ -72,97 +72,98 @@
     BOOST_TEST(pick(pool, {version_rule::only, "v3", 0, 0, {}}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(group_is_the_same_at_every_pool_and_another_by_another_seed) {
+BOOST_AUTO_TEST_CASE(group_is_the_same_in_every_pool_and_depends_on_the_seed) {
     std::set<std::set<std::string>> groups;
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-        const version_limit limit{version_rule::only, "v2", 2, seed, {}};
-        const std::set<std::string> group = picked(pool, limit);
+        const version_constraint constraint{version_rule::only, "v2", 2, seed, {}};
+        const std::set<std::string> group = picked(pool, constraint);
         BOOST_TEST(group.size() == 2U);
-        BOOST_TEST((group == picked(other, limit)));
+        BOOST_TEST((group == picked(other, constraint)));
         groups.insert(group);
     }
     BOOST_TEST(groups.size() > 5U);
 }
 
-BOOST_AUTO_TEST_CASE(target_that_fails_stays_in_its_group) {
-    const version_limit limit{version_rule::only, "v2", 1, 4, {}};
-    const std::string alone = pick(pool, limit);
-    for (int turn = 0; turn < 10; ++turn) {
-        pool.failed(now, alone);
-        BOOST_TEST(pick(pool, limit) == alone);
+BOOST_AUTO_TEST_CASE(failed_target_stays_in_its_group) {
+    const version_constraint constraint{version_rule::only, "v2", 1, 4, {}};
+    const std::string member = pick(pool, constraint);
+    for (int attempt = 0; attempt < 10; ++attempt) {
+        pool.on_failure(now, member);
+        BOOST_TEST(pick(pool, constraint) == member);
     }
-    BOOST_TEST(pick(pool, limit, {alone}).empty());
+    BOOST_TEST(pick(pool, constraint, {member}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(engines_and_their_meeting_points_are_within_the_limit) {
-    const version_limit limit{version_rule::only, "v2", 2, 9, {}};
-    const engine_request request = prompt(limit);
-    for (int turn = 0; turn < 30; ++turn) {
+BOOST_AUTO_TEST_CASE(engines_and_rendezvous_engines_meet_the_constraint) {
+    const version_constraint constraint{version_rule::only, "v2", 2, 9, {}};
+    const engine_request request = prompt(constraint);
+    for (int attempt = 0; attempt < 30; ++attempt) {
         const target_choice choice =
-            pool.pick_engine(now, "app", request, {}, any_target, turn_owner::keeper);
+            pool.pick_engine(now, "app", request, {}, any_target, permit_share::coordinator);
         BOOST_REQUIRE((choice.target != nullptr));
         BOOST_TEST(choice.target->version == "v2");
-        BOOST_TEST(pool.meeting_engine(now, "app", request, {}).starts_with("v2"));
-        pool.begin_run(now, choice.target->id, request, 3000, true);
+        BOOST_TEST(pool.rendezvous_engine(now, "app", request, {}).starts_with("v2"));
+        pool.begin_attempt(now, choice.target->id, request, 3000, true);
     }
-    BOOST_TEST(!pool.usable("v1-1", "app", request.limits));
-    BOOST_TEST(pool.usable("v2-1", "app", request.limits));
+    BOOST_TEST(!pool.is_usable("v1-1", "app", request.limits));
+    BOOST_TEST(pool.is_usable("v2-1", "app", request.limits));
 }
 
-BOOST_AUTO_TEST_CASE(memory_is_copied_from_engines_of_the_other_version) {
-    const engine_request at_old = prompt({version_rule::other_than, "v2", 0, 0, {}});
+BOOST_AUTO_TEST_CASE(memory_is_copied_from_engines_of_other_version) {
+    const engine_request to_old = prompt({version_rule::other_than, "v2", 0, 0, {}});
     const target_choice first =
-        pool.pick_engine(now, "app", at_old, {}, any_target, turn_owner::keeper);
-    const std::uint64_t run = pool.begin_run(now, first.target->id, at_old, 3000, true);
-    pool.first_event(now + milliseconds(60), first.target->id, run);
-    pool.end_run(now + milliseconds(80), first.target->id, run);
-    engine_request at_new = prompt({version_rule::only, "v2", 0, 0, {}});
-    at_new.shape.parts.back() = {77, 1000};
-    const target_choice second = pool.pick_engine(now + milliseconds(100), "app", at_new, {},
-                                                  any_target, turn_owner::keeper);
+        pool.pick_engine(now, "app", to_old, {}, any_target, permit_share::coordinator);
+    const std::uint64_t attempt_number =
+        pool.begin_attempt(now, first.target->id, to_old, 3000, true);
+    pool.record_first_event(now + milliseconds(60), first.target->id, attempt_number);
+    pool.end_attempt(now + milliseconds(80), first.target->id, attempt_number);
+    engine_request to_new = prompt({version_rule::only, "v2", 0, 0, {}});
+    to_new.shape.parts.back() = {77, 1000};
+    const target_choice second = pool.pick_engine(now + milliseconds(100), "app", to_new, {},
+                                                  any_target, permit_share::coordinator);
     BOOST_TEST(second.target->version == "v2");
     BOOST_REQUIRE((second.copy_from != nullptr));
     BOOST_TEST(second.copy_from->id == first.target->id);
 }
 
-BOOST_AUTO_TEST_CASE(new_version_waits_until_the_orders_are_read) {
+BOOST_AUTO_TEST_CASE(new_version_is_held_back_until_orders_are_read) {
     pool.apply(target("v3", 1));
-    pool.hold_back_new_version(now, "v3-1");
+    pool.quarantine_new_version(now, "v3-1");
     pool.apply(target("v3", 2));
-    pool.hold_back_new_version(now + milliseconds(10), "v3-2");
+    pool.quarantine_new_version(now + milliseconds(10), "v3-2");
     BOOST_TEST(pool.waits_for_orders());
     for (const std::string& id : picked(pool, {})) {
         BOOST_TEST(!id.starts_with("v3"));
     }
-    // A read that began before the target was met may have missed the order.
+    // A read that began before the target was first seen may have missed the order.
     pool.orders_read(now - milliseconds(1));
     BOOST_TEST(pool.waits_for_orders());
-    BOOST_TEST(!pool.usable("v3-1", "app"));
+    BOOST_TEST(!pool.is_usable("v3-1", "app"));
     pool.orders_read(now + milliseconds(20));
     BOOST_TEST(!pool.waits_for_orders());
-    BOOST_TEST(pool.usable("v3-1", "app"));
+    BOOST_TEST(pool.is_usable("v3-1", "app"));
     BOOST_TEST(picked(pool, {}).size() == 14U);
 }
 
-BOOST_AUTO_TEST_CASE(version_that_is_known_or_alone_does_not_wait) {
+BOOST_AUTO_TEST_CASE(known_or_only_version_is_not_held_back) {
     pool.apply(target("v2", 9));
-    pool.hold_back_new_version(now, "v2-9");
+    pool.quarantine_new_version(now, "v2-9");
     BOOST_TEST(!pool.waits_for_orders());
-    target_pool alone({}, random);
-    alone.apply(target("v5", 1));
-    alone.hold_back_new_version(now, "v5-1");
-    alone.apply(target("v5", 2));
-    alone.hold_back_new_version(now, "v5-2");
-    BOOST_TEST(!alone.waits_for_orders());
-    BOOST_TEST(!pick(alone, {}).empty());
+    target_pool single_version({}, random);
+    single_version.apply(target("v5", 1));
+    single_version.quarantine_new_version(now, "v5-1");
+    single_version.apply(target("v5", 2));
+    single_version.quarantine_new_version(now, "v5-2");
+    BOOST_TEST(!single_version.waits_for_orders());
+    BOOST_TEST(!pick(single_version, {}).empty());
 }
 
-/// An entry that starts while two versions run can't tell which is the old one.
-BOOST_AUTO_TEST_CASE(entry_that_meets_two_versions_at_once_uses_neither_before_the_orders) {
+/// A gateway that starts while two versions run can't tell which is the old one.
+BOOST_AUTO_TEST_CASE(gateway_that_finds_two_new_versions_uses_neither_before_the_orders) {
     target_pool starting({}, random);
     for (const char* version : {"v1", "v2"}) {
         starting.apply(target(version, 1));
-        starting.hold_back_new_version(now, std::string(version) + "-1");
+        starting.quarantine_new_version(now, std::string(version) + "-1");
     }
     BOOST_TEST(pick(starting, {}).empty());
     BOOST_TEST(pick(starting, {version_rule::other_than, "v2", 0, 0, {}}) == "v1-1");
@@ -170,11 +171,11 @@
     BOOST_TEST(!pick(starting, {}).empty());
 }
 
-/// What an order says of one version says nothing of another that came since.
-BOOST_AUTO_TEST_CASE(version_that_came_after_the_order_that_is_known_waits_for_the_next_one) {
+/// An order for one version doesn't apply to another version that appeared later.
+BOOST_AUTO_TEST_CASE(version_newer_than_the_known_order_waits_for_the_next_order) {
     pool.apply(target("v3", 1));
-    pool.hold_back_new_version(now, "v3-1");
-    const version_limit not_v2{version_rule::other_than, "v2", 0, 0, {}};
+    pool.quarantine_new_version(now, "v3-1");
+    const version_constraint not_v2{version_rule::other_than, "v2", 0, 0, {}};
     for (const std::string& id : picked(pool, not_v2)) {
         BOOST_TEST(id.starts_with("v1"));
     }
@@ -182,14 +183,14 @@
     BOOST_TEST(picked(pool, not_v2).contains("v3-1"));
 }
 
-BOOST_AUTO_TEST_CASE(service_has_only_a_version_if_none_other_is_known_of_late) {
+BOOST_AUTO_TEST_CASE(service_has_only_a_version_if_no_other_was_known_recently) {
     BOOST_TEST(!pool.has_only_version("app", "v2"));
     BOOST_TEST(!pool.has_only_version("nobody", "v2"));
     for (int number = 1; number <= 6; ++number) {
         pool.remove(now, target("v1", number).id);
     }
     BOOST_TEST(!pool.has_only_version("app", "v2"));
-    pool.take_forgotten(now + seconds(60));
+    pool.expire_unlisted(now + seconds(60));
     BOOST_TEST(pool.has_only_version("app", "v2"));
 }
 
--- a/tests/decision/rollout/rollout_gate_test.cpp
+++ b/tests/decision/rollout/rollout_gate_test.cpp
@@ -38,11 +38,11 @@
         return {route, next_session++, can_move, false, false, false};
     }
 
-    static bool is_to_new(const std::optional<version_limit>& limit) {
+    static bool is_to_new(const std::optional<version_constraint>& limit) {
         return limit && limit->rule == version_rule::only;
     }
 
-    static bool is_to_old(const std::optional<version_limit>& limit) {
+    static bool is_to_old(const std::optional<version_constraint>& limit) {
         return limit && limit->rule == version_rule::other_than;
     }
 
@@ -288,7 +288,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(without_old_targets_the_new_ones_get_requests_within_the_bound) {
-    const version_limit old_only{version_rule::other_than, "v2", 0, 0, {}};
+    const version_constraint old_only{version_rule::other_than, "v2", 0, 0, {}};
     BOOST_TEST(!gate.limit_without_candidates(old_only));
     for (int turn = 0; turn < 24; ++turn) {
         gate.note_reached();
--- a/tests/platform/target_entry_test.cpp
+++ b/tests/platform/target_entry_test.cpp
@@ -149,7 +149,7 @@
         BOOST_TEST((!target.service.empty() && !target.failure_domain.empty()));
         BOOST_TEST(http_address::parse(target.address).has_value());
         BOOST_TEST((target.slots >= 1U && target.slots <= 1'000'000U));
-        BOOST_TEST((found.value().cold_left >= microseconds(0)));
+        BOOST_TEST((found.value().cold_remaining >= microseconds(0)));
     }
     BOOST_TEST(read_well > cases / 10);
     BOOST_TEST(read_well < cases);
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -134,13 +134,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(limit_is_a_decimal_number_of_at_least_zero) {
-    BOOST_TEST(!signals_of({}).most_per_second.has_value());
+    BOOST_TEST(!signals_of({}).max_per_second.has_value());
     const std::map<std::string, double> good{
         {"1.7", 1.7}, {" 3 ", 3.0}, {"0", 0.0}, {"0.01", 0.01}, {"1e9", 1e9}};
     for (const auto& [text, value] : good) {
         const target_signals read = signals_of({{"Server-Limit", text}});
-        BOOST_REQUIRE(read.most_per_second.has_value());
-        BOOST_TEST(*read.most_per_second == value);
+        BOOST_REQUIRE(read.max_per_second.has_value());
+        BOOST_TEST(*read.max_per_second == value);
         BOOST_TEST(read.unreadable_limit.empty());
     }
 }
@@ -148,16 +148,15 @@
 BOOST_AUTO_TEST_CASE(limit_that_is_no_such_number_says_nothing_and_is_told) {
     for (const char* text : {"nan", "inf", "-1", "many", "1.5/s", "1,5", "0x10", "1e999"}) {
         const target_signals read = signals_of({{"Server-Limit", text}});
-        BOOST_TEST(!read.most_per_second.has_value());
+        BOOST_TEST(!read.max_per_second.has_value());
         BOOST_TEST(read.unreadable_limit == text);
     }
 }
 
 BOOST_AUTO_TEST_CASE(limit_that_is_named_twice_is_the_lower_one) {
-    BOOST_TEST(*signals_of({{"Server-Limit", "4"}, {"server-limit", "2.5"}}).most_per_second ==
-               2.5);
+    BOOST_TEST(*signals_of({{"Server-Limit", "4"}, {"server-limit", "2.5"}}).max_per_second == 2.5);
     const target_signals half = signals_of({{"Server-Limit", "4"}, {"Server-Limit", "?"}});
-    BOOST_TEST(*half.most_per_second == 4.0);
+    BOOST_TEST(*half.max_per_second == 4.0);
     BOOST_TEST(half.unreadable_limit == "?");
 }
 
@@ -172,26 +171,26 @@
 }
 
 BOOST_AUTO_TEST_CASE(rest_is_seconds_with_fractions_beside_a_refusal_that_did_not_run) {
-    BOOST_TEST((refusal_with("3").rest == seconds(3)));
-    BOOST_TEST((refusal_with("0.25").rest == milliseconds(250)));
-    BOOST_TEST((refusal_with("0").rest == seconds(0)));
-    BOOST_TEST((refusal_with("86400").rest == seconds(3600)));
-    BOOST_TEST(!refusal_with("3", 503, false).rest.has_value());
-    BOOST_TEST(!refusal_with("3", 429).rest.has_value());
-    BOOST_TEST(!refusal_with("3", 200).rest.has_value());
+    BOOST_TEST((refusal_with("3").backoff == seconds(3)));
+    BOOST_TEST((refusal_with("0.25").backoff == milliseconds(250)));
+    BOOST_TEST((refusal_with("0").backoff == seconds(0)));
+    BOOST_TEST((refusal_with("86400").backoff == seconds(3600)));
+    BOOST_TEST(!refusal_with("3", 503, false).backoff.has_value());
+    BOOST_TEST(!refusal_with("3", 429).backoff.has_value());
+    BOOST_TEST(!refusal_with("3", 200).backoff.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(rest_that_is_no_number_is_none_and_is_told) {
     for (const char* text : {"Wed, 21 Oct 2026 07:28:00 GMT", "soon", "-1", "nan"}) {
-        BOOST_TEST(!refusal_with(text).rest.has_value());
-        BOOST_TEST(refusal_with(text).unreadable_rest == text);
+        BOOST_TEST(!refusal_with(text).backoff.has_value());
+        BOOST_TEST(refusal_with(text).unreadable_backoff == text);
     }
 }
 
 BOOST_AUTO_TEST_CASE(target_leaves_that_says_so) {
-    BOOST_TEST(signals_of({{"Server-Leaving", "1"}}).leaving);
-    BOOST_TEST(!signals_of({{"Server-Leaving", "0"}}).leaving);
-    BOOST_TEST(!signals_of({}).leaving);
+    BOOST_TEST(signals_of({{"Server-Leaving", "1"}}).draining);
+    BOOST_TEST(!signals_of({{"Server-Leaving", "0"}}).draining);
+    BOOST_TEST(!signals_of({}).draining);
 }
 
 BOOST_AUTO_TEST_CASE(configuration_read_has_routes_services_and_accounts) {
@@ -228,9 +227,9 @@
         "i-1", R"({"service":"huvo11a","addr":"10.128.0.9:8080","zone":"z","slots":64,
                    "state":"draining","seq":4})");
     BOOST_REQUIRE(read.has_value());
-    BOOST_TEST(read.value().target.leaving);
+    BOOST_TEST(read.value().target.draining);
     BOOST_TEST(read.value().target.slots == 64U);
-    BOOST_TEST((read.value().cold_left == microseconds(0)));
+    BOOST_TEST((read.value().cold_remaining == microseconds(0)));
     BOOST_TEST(!platform::read_target("i-1", "[]").has_value());
 }
 
@@ -238,11 +237,11 @@
     const auto cold = platform::read_target(
         "i-1", R"({"service":"s","addr":"10.128.0.9:8080","zone":"z","slots":6,"state":"ready",
                    "coldLeftMs":1250})");
-    BOOST_TEST((cold.value().cold_left == milliseconds(1250)));
+    BOOST_TEST((cold.value().cold_remaining == milliseconds(1250)));
     const auto odd = platform::read_target(
         "i-1", R"({"service":"s","addr":"10.128.0.9:8080","zone":"z","slots":6,"state":"ready",
                    "coldLeftMs":-7})");
-    BOOST_TEST((odd.value().cold_left == microseconds(0)));
+    BOOST_TEST((odd.value().cold_remaining == microseconds(0)));
 }
 
 BOOST_AUTO_TEST_CASE(service_says_how_long_it_is_cold_and_what_it_bears) {
--- a/tests/roles/placement_exchange_test.cpp
+++ b/tests/roles/placement_exchange_test.cpp
@@ -64,7 +64,7 @@
             settings.regions.add("d1", "north");
             settings.regions.add("d2", "south");
         }
-        settings.entries = [] { return 4U; };
+        settings.gateway_count = [] { return 4U; };
         return settings;
     }
 
@@ -244,8 +244,8 @@
     /// Every engine of the south reads for a long time.
     void fill_the_south() const {
         for (int number = 1; number <= 6; ++number) {
-            near_keeper->targets.begin_run(monotonic_now(), "e" + std::to_string(number),
-                                           prompt(500, 150'000), 150'000, true);
+            near_keeper->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
+                                               prompt(500, 150'000), 150'000, true);
         }
     }
 
@@ -260,7 +260,7 @@
     const std::string target = place(*asker, prompt(7));
     BOOST_TEST(!target.empty());
     BOOST_TEST(run.keeper == "h1");
-    BOOST_TEST(choice.unread == 9000);
+    BOOST_TEST(choice.uncached_tokens == 9000);
     BOOST_TEST(choice.price.first_event_ms > 10.0);
     BOOST_TEST(keeper->desk.runs() == 1U);
     BOOST_TEST(asker->answered.size() == 1U);
@@ -356,7 +356,7 @@
             if (number > 1) {
                 entry->targets.remove(monotonic_now(), id);
             }
-            entry->targets.note_cold(monotonic_now(), id, seconds(30));
+            entry->targets.mark_cold(monotonic_now(), id, seconds(30));
         }
     }
     unsigned placed = 0;
@@ -376,7 +376,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(engines_of_an_emptied_domain_are_not_taken_on_a_keepers_word) {
-    asker->targets.set_emptied(monotonic_now(), "d1", true);
+    asker->targets.set_evacuated(monotonic_now(), "d1", true);
     for (std::uint64_t session = 10; session < 20; ++session) {
         BOOST_TEST(place(*asker, prompt(session)).empty());
     }
@@ -547,8 +547,8 @@
 BOOST_FIXTURE_TEST_CASE(other_region_that_is_full_too_is_not_asked_each_time, two_regions_fixture) {
     fill_the_south();
     for (int number = 7; number <= 12; ++number) {
-        keeper->targets.begin_run(monotonic_now(), "e" + std::to_string(number),
-                                  prompt(500, 150'000), 150'000, true);
+        keeper->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
+                                      prompt(500, 150'000), 150'000, true);
     }
     const std::size_t before = keeper->desk.runs();
     const double asked = asker->counters.counter("placement_asks_afar_total");
@@ -587,7 +587,7 @@
     std::uint64_t session = 101;
     const auto meets_afar = [&] {
         const std::string_view met =
-            asker->targets.meeting_engine(monotonic_now(), service, long_to_read(session), {});
+            asker->targets.rendezvous_engine(monotonic_now(), service, long_to_read(session), {});
         return asker->targets.region_of(met) == "north";
     };
     while (!meets_afar()) {
@@ -597,7 +597,7 @@
     const double expected = asker->targets
                                 .pick_engine(
                                     monotonic_now(), service, long_to_read(session), {},
-                                    [](std::string_view) { return true; }, turn_owner::stand_in)
+                                    [](std::string_view) { return true; }, permit_share::fallback)
                                 .price.first_event_ms;
     place(*asker, long_to_read(session));
     BOOST_TEST(run.keeper.empty());
--- a/tests/roles/target_list_test.cpp
+++ b/tests/roles/target_list_test.cpp
@@ -83,8 +83,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(target_that_starts_again_loses_what_was_known_of_it) {
-    pool.silent(now, "a");
-    pool.reported(now, "a", {5, 4});
+    pool.on_unresponsive(now, "a");
+    pool.on_load_report(now, "a", {5, 4});
     put("a", "200 10.0.0.1:80");
     BOOST_TEST((replaced == std::vector<std::string>{"a"}));
     BOOST_TEST(count("gateway_targets_restarted_total") == 1U);
@@ -93,10 +93,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(requests_under_way_at_a_target_that_starts_again_stay_counted) {
-    pool.sent("a");
+    pool.on_sent("a");
     put("a", "200 10.0.0.1:80");
     BOOST_TEST(pool.describe(now, "a").find("own=1") != std::string::npos);
-    pool.finished("a");
+    pool.on_finished("a");
     BOOST_TEST(pool.describe(now, "a").find("own=0") != std::string::npos);
 }
 
