--- a/include/wrenswitch/decision/gateway/admission.hpp
+++ b/include/wrenswitch/decision/gateway/admission.hpp
@@ -8,45 +8,47 @@
 
 namespace wrenswitch {
 
-/// A request that the configuration allows. It holds copies, since a new configuration may replace
-/// what they came from while the request runs.
+/// A request that the configuration allows, with the settings that apply to it. It holds copies,
+/// because a new configuration may replace the originals while the request runs.
 struct admitted_request {
     gateway_route route;
     std::string service;
-    /// Empty on a public route.
+    /// The account that is authenticated and charged; empty on a public route.
     std::string account;
-    /// The account that holds the request's key, also on a public route, which needs none.
-    std::string key_holder;
-    /// 0 is the most urgent, 9 the least. The account's priority goes before the route's.
-    unsigned urgency = 0;
-    /// Set if the service's targets are model engines.
+    /// The account that owns the API key. Also set on a public route if the caller sent a key,
+    /// although the route requires none.
+    std::string key_owner;
+    /// From 0, the most urgent, to 9. The account's priority takes precedence over the route's.
+    unsigned priority = 0;
+    /// Set if the targets of the service are model engines.
     std::optional<engine_shape> engine;
-    /// True if the account pays for the request's tokens.
-    bool counted = false;
-    /// Where it may be: what its route and its account both allow.
+    /// True if the account pays for the tokens that the request uses.
+    bool is_metered = false;
+    /// The regions that both the route and the account allow.
     allowed_regions regions;
-    /// The version of the configuration that it was admitted by.
-    std::uint64_t configuration = 0;
+    /// The version of the configuration that admitted the request.
+    std::uint64_t configuration_version = 0;
 };
 
-/// Why a request isn't admitted.
+/// Why a request is not admitted.
 enum class admission_refusal { no_configuration, no_route, no_service, unknown_key };
 
-/// The name of a refusal as logs and answers show it.
+/// The name of a refusal in logs and responses.
 std::string_view name_of(admission_refusal refusal);
 
-/// Decides by the configuration in force whether a request may run, where, and at whose cost.
-/// `fraction`, from 0 to 1, chooses among the services of a split route.
-std::variant<admitted_request, admission_refusal> admit(const configuration_view& configuration,
+/// Applies the active configuration to a request: finds its route, service and account, or returns
+/// why it is refused. `fraction`, from 0 to 1, selects among the services of a route with weighted
+/// splits.
+std::variant<admitted_request, admission_refusal> admit(const active_configuration& configuration,
                                                         std::string_view host,
                                                         std::string_view path, std::string_view key,
                                                         double fraction);
 
-/// Where an admitted request may be by now: what it was admitted with, narrowed by what a newer
-/// configuration says of its route and of its key's holder. A request that waits thus goes nowhere
-/// that either forbids.
-allowed_regions regions_now(const configuration_view& configuration,
-                            const admitted_request& admitted, std::string_view host,
-                            std::string_view path);
+/// The regions in which an admitted request may be processed now: those at admission, further
+/// restricted by the active configuration for its route and for the owner of its key. While a
+/// request is queued, a newer configuration can therefore only narrow its regions.
+allowed_regions current_allowed_regions(const active_configuration& configuration,
+                                        const admitted_request& admitted, std::string_view host,
+                                        std::string_view path);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/answer_times.hpp
+++ b/include/wrenswitch/decision/gateway/answer_times.hpp
@@ -8,20 +8,20 @@
 
 namespace wrenswitch {
 
-/// How long the answers of services without prompts take, as far as was seen. The load it answers:
-/// a target that hangs takes every request and says nothing, while its health is good; what is
-/// silent for much longer than answers take is likely to say nothing at all.
-class answer_times {
+/// Tracks the response times of services without prompts, and derives from them how long a target
+/// may stay silent before it counts as unresponsive. A target that hangs goes on accepting requests
+/// and passing its health checks, so its silence is the only sign of the failure.
+class response_time_tracker {
 public:
-    /// A request was answered within this time.
+    /// Adds the response time of one request.
     void observe(const std::string& service, microseconds time);
 
-    /// The longest silence of a target of the service that means nothing yet.
-    microseconds longest_usual(std::string_view service) const;
+    /// How long a target of the service may stay silent before it counts as unresponsive.
+    microseconds silence_threshold(std::string_view service) const;
 
 private:
-    /// The usual time to an answer, in ms.
-    std::map<std::string, double, std::less<>> usual_ms_;
+    /// The moving average of the response time of each service, in milliseconds.
+    std::map<std::string, double, std::less<>> average_ms_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/configuration_view.hpp
+++ b/include/wrenswitch/decision/gateway/configuration_view.hpp
@@ -11,43 +11,45 @@
 
 namespace wrenswitch {
 
-/// The configuration in force, indexed for requests. Versions only rise.
-class configuration_view {
+/// The configuration in force, indexed for lookups by requests. Versions only increase.
+class active_configuration {
 public:
-    /// Takes a version in; where its limits can't be read they allow nothing. False, with no
-    /// change, if it isn't newer than the one in force.
+    /// Replaces the configuration. Region restrictions that cannot be parsed allow no region.
+    /// Returns false, without a change, if the version is not newer than the one in force.
     bool apply(gateway_configuration configuration);
 
-    /// False until the first version is there; until then nothing can be decided.
-    bool known() const { return known_; }
+    /// False until the first version is applied; until then no request can be admitted.
+    bool is_loaded() const { return is_loaded_; }
 
     const gateway_configuration& current() const { return configuration_; }
 
-    /// The route of this host with the longest prefix that begins the path, or null.
-    const gateway_route* route_of(std::string_view host, std::string_view path) const;
+    /// The route of the host with the longest prefix of the path, or null. The host may carry a
+    /// port and is compared without regard to case.
+    const gateway_route* find_route(std::string_view host, std::string_view path) const;
 
-    /// The account that holds a key, or null.
-    const gateway_account* account_of_key(std::string_view key) const;
+    /// The account that owns an API key, or null.
+    const gateway_account* find_account_by_key(std::string_view key) const;
 
-    const gateway_account* account(std::string_view name) const;
-    const gateway_service* service(std::string_view name) const;
+    const gateway_account* find_account(std::string_view name) const;
+    const gateway_service* find_service(std::string_view name) const;
 
-    /// True if callers must show a key where the route isn't public.
-    bool wants_keys() const { return !configuration_.accounts.empty(); }
+    /// True if callers must send an API key on routes that are not public.
+    bool requires_keys() const { return !configuration_.accounts.empty(); }
 
-    /// The part of a route's traffic that a number from 0 to 1 falls on. Null if it has none.
-    static const route_split* choose_split(const gateway_route& route, double fraction);
+    /// Selects a split in proportion to the weights. `position` is a number from 0 to 1 along their
+    /// sum. Null if no split has a positive weight.
+    static const route_split* choose_split(const gateway_route& route, double position);
 
 private:
-    using names = std::unordered_map<std::string, std::size_t>;
+    using index_by_name = std::unordered_map<std::string, std::size_t>;
 
     gateway_configuration configuration_;
-    /// Routes of each host, the longest prefix first.
+    /// The indices of the routes of each host, the longest prefix first.
     std::unordered_map<std::string, std::vector<std::size_t>> by_host_;
-    names by_key_;
-    names accounts_;
-    names services_;
-    bool known_ = false;
+    index_by_name by_key_;
+    index_by_name accounts_;
+    index_by_name services_;
+    bool is_loaded_ = false;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/gateway_configuration.hpp
+++ b/include/wrenswitch/decision/gateway/gateway_configuration.hpp
@@ -14,31 +14,32 @@
 
 namespace wrenswitch {
 
-/// What may be done with a request that was already sent to a target.
+/// Whether a request may be sent again after it reached a target, and whether its response is a
+/// stream.
 enum class request_kind {
-    /// It may run again.
+    /// May run more than once.
     repeatable,
-    /// It runs once at the most.
+    /// Runs at most once.
     single_run,
-    /// It runs once at the most and answers with a stream of events.
+    /// Runs at most once and responds with a stream of events.
     stream,
-    /// A stream that may go on at another target behind the last event that came.
+    /// A stream that another target can continue after the last event received.
     resumable_stream,
 };
 
 /// True if a request of this kind may be sent again after it may have run.
 bool may_repeat(request_kind kind);
 
-/// True if the answer is a stream of events.
+/// True if the response is a stream of events.
 bool is_stream(request_kind kind);
 
-/// One part of the traffic of a route.
+/// A service and its share of the traffic of a route.
 struct route_split {
     std::string service;
     double weight = 1.0;
 };
 
-/// Where requests of one host and path prefix go, and how.
+/// Routes the requests of one host and path prefix to services, with their limits and objectives.
 struct gateway_route {
     std::string name;
     std::string host;
@@ -47,65 +48,68 @@
     std::vector<route_split> splits;
     microseconds timeout = seconds(60);
     /// The number of targets that one request may be sent to.
-    unsigned most_attempts = 1;
+    unsigned max_attempts = 1;
     /// 0 is the most urgent.
     unsigned priority = 0;
-    /// Open to callers without a key.
+    /// True if callers need no API key.
     bool is_public = false;
-    /// The time within which an answer, or the first event of a stream, is worth all; zero if that
-    /// isn't said.
-    microseconds first_answer_aim{};
-    /// The longest pause between events of a stream that is still in time; zero if any is.
-    microseconds longest_pause{};
-    /// Where its requests may be.
+    /// The latency objective for a response, or for the first event of a stream. Zero if there is
+    /// none.
+    microseconds first_response_objective{};
+    /// The longest time between two events of a stream that still meets its objective. Zero if
+    /// there is no limit.
+    microseconds max_event_gap{};
+    /// The regions in which its requests may be processed.
     allowed_regions regions;
-    /// True if something stands there that names no regions: nobody knows what it was to allow.
+    /// True if the regions are configured but cannot be parsed, so that the intended restriction is
+    /// unknown.
     bool regions_unreadable = false;
 };
 
-/// What a service's targets bear while they are cold: after a start, or whenever they turn cold.
+/// The warm-up of a service's targets: after a start, or whenever they become cold.
 struct target_warmup {
     /// How long a target stays cold after a start.
-    microseconds length{};
-    /// The requests that a cold one bears in a second, from all entries together; zero if it makes
-    /// no difference.
-    double requests_per_second = 0.0;
+    microseconds duration{};
+    /// The rate that a cold target can handle, from all gateways together. Zero if a cold target
+    /// needs no limit.
+    double max_requests_per_second = 0.0;
 
     friend bool operator==(const target_warmup&, const target_warmup&) = default;
 };
 
-/// A set of targets that are alike.
+/// A set of interchangeable targets.
 struct gateway_service {
     std::string name;
-    /// Connections that one target takes from all entries together.
-    std::size_t most_connections = 64;
-    /// Given if the targets are model engines.
+    /// The connections that one target accepts from all gateways together.
+    std::size_t max_connections = 64;
+    /// Set if the targets are model engines.
     std::optional<engine_shape> engine;
     target_warmup warmup;
 };
 
-/// A client account, its keys and its prepaid budget.
+/// A client account, its API keys and its prepaid token budget.
 struct gateway_account {
     std::string name;
     std::vector<std::string> keys;
     unsigned priority = 0;
-    /// No budget means that nothing is counted.
-    std::optional<tokens> prepaid;
-    /// Where its requests may be.
+    /// Without a budget the account's token usage is not metered.
+    std::optional<tokens> prepaid_tokens;
+    /// The regions in which its requests may be processed.
     allowed_regions regions;
-    /// True if something stands there that names no regions: nobody knows what it was to allow.
+    /// True if the regions are configured but cannot be parsed, so that the intended restriction is
+    /// unknown.
     bool regions_unreadable = false;
 };
 
-/// What callers may send.
+/// Limits on the requests that callers send.
 struct gateway_limits {
-    std::size_t most_header_bytes = 32U * 1024U;
-    std::size_t most_body_bytes = 4U * 1024U * 1024U;
-    microseconds head_timeout = seconds(5);
+    std::size_t max_header_bytes = 32U * 1024U;
+    std::size_t max_body_bytes = 4U * 1024U * 1024U;
+    microseconds header_timeout = seconds(5);
     microseconds idle_timeout = seconds(60);
 };
 
-/// Everything that operators set for a gateway, as one version.
+/// One version of all operator settings of a gateway.
 struct gateway_configuration {
     std::uint64_t version = 0;
     std::vector<gateway_route> routes;
@@ -114,7 +118,7 @@
     gateway_limits limits;
 };
 
-/// The places of the limits that couldn't be read.
-std::vector<std::string> unreadable_limits(const gateway_configuration& configuration);
+/// The paths of the region restrictions that could not be parsed, such as `routes/NAME/regions`.
+std::vector<std::string> unreadable_region_limits(const gateway_configuration& configuration);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/isolation_watch.hpp
+++ b/include/wrenswitch/decision/gateway/isolation_watch.hpp
@@ -9,30 +9,31 @@
 
 namespace wrenswitch {
 
-/// Notices when an entry is cut off from the fleet's hosts: several peers that owed it something
-/// kept silent, and meanwhile nothing came from any engine nor, on whatever way, from the
-/// platform's service. Other entries that it still hears may be cut off with it. Such an entry can
-/// only hold its callers up, while others could serve them.
-class isolation_watch {
+/// Detects that this gateway is cut off from the other hosts: several peers have not responded, and
+/// in the meantime nothing was received from any engine or, directly or through a relay, from the
+/// platform service. Other gateways that can still be reached may be isolated together with it, so
+/// messages from them do not count. An isolated gateway should refuse its callers, because it only
+/// delays requests that other gateways could serve.
+class isolation_detector {
 public:
-    /// Something came from an engine or from the platform's service at this time.
-    void heard(instant when);
+    /// Data from an engine or from the platform service was received at this time.
+    void record_contact(instant at);
 
-    /// An engine or entry that should have answered by now has said nothing.
-    void silent(std::string_view peer) { silent_.insert(std::string(peer)); }
+    /// An engine or gateway did not respond in time.
+    void record_unresponsive(std::string_view peer) { unresponsive_.insert(std::string(peer)); }
 
-    /// True if the fleet isn't reached.
-    bool isolated(instant now) const;
+    /// True if this gateway appears to be cut off.
+    bool is_isolated(instant now) const;
 
-    /// The peers that kept silent since something came.
-    std::size_t silent_peers() const { return silent_.size(); }
+    /// The number of peers that failed to respond since the last contact.
+    std::size_t unresponsive_peers() const { return unresponsive_.size(); }
 
-    /// When something last came.
-    instant last_heard() const { return heard_; }
+    /// When data was last received.
+    instant last_contact() const { return last_contact_; }
 
 private:
-    instant heard_{};
-    std::set<std::string, std::less<>> silent_;
+    instant last_contact_{};
+    std::set<std::string, std::less<>> unresponsive_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/overload_watch.hpp
+++ b/include/wrenswitch/decision/gateway/overload_watch.hpp
@@ -4,27 +4,27 @@
 
 namespace wrenswitch {
 
-/// Notices when an entry gets more requests than its processor can pass on, by how late its loop
-/// comes to what is due, and says which share of its requests it should refuse at once. An entry
-/// whose queue grows without a bound is late with everything: it ends runs whose callers left and
-/// requests whose time is over half a second too late, and takes answers for lost that lie unread,
-/// among them new configurations.
+/// Detects from the lag of its event loop that a gateway receives more requests than its processor
+/// can handle, and computes the share of requests to refuse immediately. With an unbounded queue
+/// everything is late: requests whose callers left or whose deadline passed are cancelled more than
+/// half a second late, and responses that wait unread, new configurations among them, are treated
+/// as lost.
 ///
-/// The share follows the least lag of each window, since a single pause says nothing of a queue
-/// that stays.
-class overload_watch {
+/// The share depends on the minimum lag in each window, since a single pause does not indicate a
+/// standing queue.
+class overload_detector {
 public:
-    /// The loop came to something this much after it was due.
+    /// Adds one sample: the loop ran something this long after it was due.
     void observe(instant now, microseconds lag);
 
     /// The share of requests to refuse, from 0 to 1.
-    double refused_share() const { return share_; }
+    double refused_share() const { return refused_share_; }
 
 private:
-    instant window_began_{};
-    microseconds least_lag_{};
-    unsigned looks_ = 0;
-    double share_ = 0.0;
+    instant window_start_{};
+    microseconds min_lag_{};
+    unsigned window_samples_ = 0;
+    double refused_share_ = 0.0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/gateway/region_table.hpp
+++ b/include/wrenswitch/decision/gateway/region_table.hpp
@@ -6,21 +6,23 @@
 
 namespace wrenswitch {
 
-/// Which region each failure domain lies in. A domain that nobody named a region for is one of its
-/// own: nothing is allowed there that is bound to regions, and it is far from everything else.
+/// Maps failure domains to regions. A failure domain without a configured region counts as a region
+/// of its own: no request restricted to regions may run there, and it is remote from every other
+/// failure domain.
 class region_table {
 public:
-    /// Names the region of a failure domain. False, with no change, if it has one already.
+    /// Assigns a region to a failure domain. Returns false, without a change, if it already has
+    /// one.
     bool add(std::string failure_domain, std::string region);
 
-    /// The region of a failure domain; empty if none was named.
+    /// The region of a failure domain; empty if none is configured.
     std::string_view region_of(std::string_view failure_domain) const;
 
-    /// True if both failure domains lie in one region.
-    bool are_near(std::string_view left, std::string_view right) const;
+    /// True if both failure domains are in the same region, or are the same failure domain.
+    bool in_same_region(std::string_view left, std::string_view right) const;
 
-    /// True if there are two regions or more.
-    bool has_several() const;
+    /// True if there are at least two different regions.
+    bool has_multiple_regions() const;
 
     /// True if no failure domain has a region.
     bool empty() const { return regions_.empty(); }
--- a/include/wrenswitch/decision/gateway/region_watch.hpp
+++ b/include/wrenswitch/decision/gateway/region_watch.hpp
@@ -12,50 +12,51 @@
 
 namespace wrenswitch {
 
-/// A change of what is believed of a region.
-struct region_news {
+/// A region became unreachable or reachable again.
+struct region_status_change {
     std::string region;
-    bool cut_off = false;
-    /// Its entries that were asked and said nothing, and all that it has.
-    std::size_t silent = 0;
+    bool unreachable = false;
+    /// The number of its gateways that failed to respond, and of all its gateways.
+    std::size_t unresponsive = 0;
     std::size_t members = 0;
-    /// Since the first of them was silent.
-    microseconds since{};
+    /// The time since the first of these failures.
+    microseconds duration{};
 };
 
-/// Tells when another region is cut off from this entry, and when it is back, by what comes of
-/// asking its entries. For operators: no request depends on it.
-class region_watch {
+/// Detects whether other regions are reachable from this gateway, from the results of calls to
+/// their gateways. Only for operators; no routing decision depends on it.
+class region_outage_detector {
 public:
-    /// The entry's own region is left out: whether that is reached is its isolation.
-    explicit region_watch(std::string own_region);
+    /// The gateway's own region is ignored; if that is unreachable, the gateway itself is isolated.
+    explicit region_outage_detector(std::string own_region);
 
-    /// Takes in how often members answered until now. Returns what changed since the last look.
-    std::vector<region_news> look(instant now, std::span<const member_answers> members);
+    /// Applies the current call counts of all members. Returns the regions whose state changed
+    /// since the last update.
+    std::vector<region_status_change> update(instant now, std::span<const member_answers> members);
 
-    /// How many regions are held for cut off.
-    std::size_t cut_off() const;
+    /// The number of regions that are considered unreachable.
+    std::size_t unreachable_count() const;
 
 private:
     struct counts {
-        std::uint64_t answers = 0;
-        std::uint64_t silences = 0;
+        std::uint64_t responses = 0;
+        std::uint64_t failures = 0;
     };
 
     struct region_state {
         std::size_t members = 0;
-        /// Those that were silent since any of the region's entries answered.
-        std::set<std::string, std::less<>> silent;
-        instant since{};
-        instant last_silence{};
-        bool answered = false;
-        bool cut_off = false;
+        /// Members that failed to respond since any gateway of the region last responded.
+        std::set<std::string, std::less<>> unresponsive;
+        instant first_failure{};
+        instant last_failure{};
+        bool responded = false;
+        bool unreachable = false;
     };
 
-    void take(instant now, const member_answers& member);
+    void apply_counts(instant now, const member_answers& member);
 
     std::string own_region_;
-    std::map<std::string, counts, std::less<>> seen_;
+    std::map<std::string, counts, std::less<>> last_counts_;
     std::map<std::string, region_state, std::less<>> regions_;
 };
 
--- a/include/wrenswitch/decision/guard/admission_queue.hpp
+++ b/include/wrenswitch/decision/guard/admission_queue.hpp
@@ -21,62 +21,66 @@
     std::string client_account;
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
-    tokens bound = 0;
-    instant arrived{};
+    /// The maximum number of tokens that the request may use.
+    tokens token_bound = 0;
+    instant arrived_at{};
     instant deadline{};
 };
 
-/// How much may wait, and how waiting changes a request's place.
-struct admission_settings {
-    std::size_t most_queued = 256;
-    /// A request is refused at once if those before it would keep it waiting for longer.
-    microseconds most_wait = milliseconds(500);
-    /// After each such time of waiting a request counts as one class more urgent.
-    microseconds ageing_step = seconds(2);
+/// Limits of an admission queue, and how waiting raises the priority of a request.
+struct admission_queue_settings {
+    std::size_t max_queued = 256;
+    /// A request is refused immediately if it is expected to wait longer than this.
+    microseconds max_wait = milliseconds(500);
+    /// The priority of a request is raised by one for each such interval that it has waited.
+    microseconds aging_interval = seconds(2);
 };
 
-/// The bounded queue of one guard. The most urgent class goes first, with waiting raising the
-/// class; inside a class client accounts take turns by the tokens that they were given, so that a
-/// large account cannot starve small ones.
+/// The bounded priority queue of one guard. Requests with the most urgent priority run first, and
+/// waiting raises the priority of a request. Within a priority, client accounts share the target by
+/// start-time fair queueing on their tokens, so that a large account cannot starve small ones.
 class admission_queue {
 public:
-    explicit admission_queue(admission_settings settings) : settings_(settings) {}
+    explicit admission_queue(admission_queue_settings settings) : settings_(settings) {}
 
-    /// Takes a request in. If the queue is full, the least urgent one goes: the new one, or one
-    /// that waits, which is then returned through `displaced`.
-    refusal_reason push(queued_request request, std::optional<queued_request>& displaced);
+    /// Adds a request. If the queue is full, the least urgent request is refused: either the new
+    /// one, or a queued one, which is then returned in `evicted`.
+    refusal_reason push(queued_request request, std::optional<queued_request>& evicted);
 
-    /// How long a request of this class would wait, by the pace at which requests left lately.
+    /// How long a request of this priority is expected to wait, from the average interval between
+    /// recent pops.
     microseconds expected_wait(std::uint32_t priority) const;
 
-    /// The next request to run, or nothing.
+    /// Removes and returns the next request to run; nothing if the queue is empty.
     std::optional<queued_request> pop(instant now);
 
-    /// Removes a request that is no longer wanted.
+    /// Removes a cancelled request. Returns false if it is not in the queue.
     bool remove(attempt_id attempt);
 
-    /// Removes and returns all requests that can no longer meet their deadline, given how long one
-    /// takes at the least.
-    std::vector<queued_request> take_hopeless(instant now, microseconds least_duration);
+    /// Removes and returns all requests that cannot meet their deadline if they take at least
+    /// `min_duration`.
+    std::vector<queued_request> remove_unmeetable(instant now, microseconds min_duration);
 
-    /// Removes and returns everything.
-    std::vector<queued_request> take_all();
+    /// Removes and returns all requests.
+    std::vector<queued_request> remove_all();
 
     std::size_t size() const { return waiting_.size(); }
 
 private:
-    void note_pop(instant now);
-    std::uint32_t class_of(const queued_request& request, instant now) const;
+    void update_pop_interval(instant now);
+    std::uint32_t aged_priority(const queued_request& request, instant now) const;
 
-    admission_settings settings_;
+    admission_queue_settings settings_;
     std::vector<queued_request> waiting_;
-    /// Tokens given to each client account, the basis for taking turns.
-    std::map<std::string, double, std::less<>> served_;
-    double served_floor_ = 0.0;
-    /// The average time between two requests that left while others waited; zero if not known.
+    /// The virtual finish time, in tokens, of the last request of each client account.
+    std::map<std::string, double, std::less<>> virtual_finish_;
+    /// The virtual start time of the last request that was popped.
+    double virtual_time_ = 0.0;
+    /// The average interval between pops while other requests waited, in microseconds; zero if not
+    /// yet known.
     double pop_interval_us_ = 0.0;
     instant last_pop_{};
-    bool waited_at_last_pop_ = false;
+    bool queued_at_last_pop_ = false;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/guard/answer_buffer.hpp
+++ b/include/wrenswitch/decision/guard/answer_buffer.hpp
@@ -13,64 +13,66 @@
 
 namespace wrenswitch {
 
-/// One answer, whole or still growing.
-struct kept_answer {
+/// A response, either finished or still being received.
+struct buffered_response {
     unsigned status = 0;
     std::string content_type;
     std::vector<std::string> chunks;
-    bool ended = false;
-    /// Only meaningful once it ended: false if the target broke off.
-    bool whole = false;
+    bool finished = false;
+    /// Valid once finished: false if the target aborted the response.
+    bool complete = false;
     tokens cost = 0;
     std::size_t bytes = 0;
-    instant ended_at{};
+    instant finished_at{};
 };
 
-/// How much is kept, and for how long.
-struct answer_buffer_settings {
-    std::size_t most_bytes = 32U * 1024U * 1024U;
-    microseconds keep_ended_for = seconds(300);
+/// The size of the buffer and how long finished responses are kept.
+struct response_buffer_settings {
+    std::size_t max_bytes = 32U * 1024U * 1024U;
+    microseconds retention = seconds(300);
 };
 
-/// The answers of keyed requests at one guard, so that a repeat gets the same answer without a
-/// second run. Bounded in bytes: the answer that ended first is dropped first, and if none has
-/// ended, the one that grows is no longer kept. A dropped answer is never given in part.
-class answer_buffer {
+/// Buffers the responses to requests with an idempotency key, so that a repeated request gets the
+/// same response without running again. The total size is bounded: the response that finished first
+/// is evicted first; if none has finished, the one that is growing is discarded. A discarded
+/// response is never replayed in part.
+class response_buffer {
 public:
-    explicit answer_buffer(answer_buffer_settings settings) : settings_(settings) {}
+    explicit response_buffer(response_buffer_settings settings) : settings_(settings) {}
 
-    /// Begins to keep the answer to a key. An earlier one is replaced.
+    /// Starts buffering the response to a key, replacing an earlier one.
     void begin(const digest& key);
 
-    /// Sets the head of an answer.
+    /// Sets the status and content type of a response.
     void set_head(const digest& key, unsigned status, std::string_view content_type);
 
-    /// Adds a chunk.
+    /// Appends a chunk to a response.
     void append(const digest& key, std::string_view chunk);
 
-    /// Marks the end.
-    void end(const digest& key, instant now, bool whole, tokens cost);
+    /// Marks a response as finished.
+    void finish(const digest& key, instant now, bool complete, tokens cost);
 
-    /// Drops an answer.
-    void drop(const digest& key);
+    /// Removes a response.
+    void discard(const digest& key);
 
-    /// The answer to a key, or null if it is not kept.
-    const kept_answer* find(const digest& key) const;
+    /// The response to a key, or null if it is not buffered.
+    const buffered_response* find(const digest& key) const;
 
-    /// Drops ended answers that were kept for long enough.
+    /// Removes finished responses whose retention time is over.
     void expire(instant now);
 
-    std::size_t bytes() const { return bytes_; }
-    std::size_t size() const { return answers_.size(); }
+    std::size_t bytes() const { return total_bytes_; }
+    std::size_t size() const { return responses_.size(); }
 
 private:
-    void make_room(const digest& growing);
-
-    answer_buffer_settings settings_;
-    std::unordered_map<digest, kept_answer> answers_;
-    /// Keys in the order in which their answers ended; a key may stand here after it was dropped.
-    std::deque<digest> ended_;
-    std::size_t bytes_ = 0;
+    void evict_to_fit(const digest& growing_key);
+
+    response_buffer_settings settings_;
+    std::unordered_map<digest, buffered_response> responses_;
+    /// Keys in the order in which their responses finished. May contain keys whose responses were
+    /// discarded.
+    std::deque<digest> finished_order_;
+    std::size_t total_bytes_ = 0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/guard/charge_book.hpp
+++ b/include/wrenswitch/decision/guard/charge_book.hpp
@@ -12,65 +12,73 @@
 
 namespace wrenswitch {
 
-/// What a guard knows of the tickets that reached it: which it used, what they cost, and which it
-/// must refuse. Checking a ticket and recording its charge are one step, before anything goes to
-/// the target, so that a mark covers all that was started before it.
+/// Tracks the tickets that reached a guard: which were used, what they cost, and which have to be
+/// refused. Checking a ticket and recording its charge are one step that precedes any request to
+/// the target, so that the charges reported for a fenced holder include every request started
+/// before.
 ///
-/// spec/budget.pml models start and mark; spec/requests.pml models start and void.
-class charge_book {
+/// spec/budget.pml models starting a charge and reporting it for a fence; spec/requests.pml models
+/// starting and voiding.
+class charge_tracker {
 public:
-    /// The control state must outlive the book; `own` is the guard's incarnation.
-    charge_book(incarnation_id own, const control_state& control) : own_(own), control_(control) {}
+    /// `control` must outlive the tracker; `guard` is the incarnation of the guard.
+    charge_tracker(incarnation_id guard, const control_state& control)
+        : guard_(guard), control_(control) {}
 
-    /// The guard took a new incarnation; what it knows of tickets stays.
-    void set_own(incarnation_id own) { own_ = own; }
+    /// The guard registered under a new incarnation; the tracked tickets are kept.
+    void set_incarnation(incarnation_id guard) { guard_ = guard; }
 
-    /// Why this ticket cannot be used now, or `none`. Changes nothing.
-    refusal_reason check(const ticket& offered, log_offset control_offset) const;
+    /// Why the ticket cannot be used now, or `none`. Changes nothing.
+    refusal_reason check_ticket(const ticket& offered, log_offset control_offset) const;
 
-    /// Checks the ticket again and records its charge at the upper bound.
-    refusal_reason start(const ticket& used, log_offset control_offset);
+    /// Checks the ticket again and records a charge of its token bound.
+    refusal_reason begin_charge(const ticket& offered, log_offset control_offset);
 
-    /// The request ended and cost this much. Never more than the bound is charged for one that a
-    /// target let run on; the excess is returned, to be shown as a defect of the target.
-    tokens end(ticket_id id, tokens cost);
+    /// Sets the final cost of a request. The charge never exceeds the bound of the ticket, even if
+    /// the target used more; the excess is returned so that it can be reported as a fault of the
+    /// target.
+    tokens finish_charge(ticket_id id, tokens cost);
 
-    /// The target certainly did not run it: the charge is dropped and the ticket stays used.
-    void cancel(ticket_id id);
+    /// Removes the charge of a request that the target certainly did not run. The ticket remains
+    /// used.
+    void cancel_charge(ticket_id id);
 
-    /// Refuses the ticket from now on. False if it was used already.
+    /// Refuses the ticket from now on. Returns false if it was already used.
     bool void_ticket(ticket_id id, incarnation_id holder);
 
-    /// Charges that ended and were not acknowledged, for their holders, at most this many.
-    std::vector<charge> unacknowledged(instant now, microseconds resend_after, std::size_t most);
+    /// Up to `max_count` finished charges to report to their holders: those never reported, or
+    /// reported at least `resend_after` ago without an acknowledgement. Marks them as reported now.
+    std::vector<charge> take_due_reports(instant now, microseconds resend_after,
+                                         std::size_t max_count);
 
-    /// The charge is in the ledger for good.
-    void acknowledge(ticket_id id);
+    /// The charge is stored durably in the ledger.
+    void acknowledge_charge(ticket_id id);
 
-    /// All charges under this holder: the mark for its fence.
-    std::vector<charge> mark_for(incarnation_id holder) const;
+    /// All charges of a holder, running and finished; reported when the holder is fenced.
+    std::vector<charge> charges_of_holder(incarnation_id holder) const;
 
-    /// Forgets voided tickets of a holder that is fenced or closed, since all of its are refused.
+    /// Forgets the used and voided tickets of a fenced or closed holder, since all its tickets are
+    /// refused anyway.
     void forget_holder(incarnation_id holder);
 
-    std::size_t running() const { return running_; }
-    std::size_t unsettled() const { return charges_.size(); }
-    bool used(ticket_id id) const { return used_.count(id) > 0; }
+    std::size_t running_count() const { return running_count_; }
+    std::size_t unsettled_count() const { return charges_.size(); }
+    bool is_used(ticket_id id) const { return used_tickets_.count(id) > 0; }
 
 private:
-    struct entry {
+    struct charge_state {
         charge value;
-        instant sent_at{};
-        bool sent = false;
+        instant reported_at{};
+        bool report_sent = false;
     };
 
-    incarnation_id own_;
+    incarnation_id guard_;
     const control_state& control_;
-    std::unordered_map<ticket_id, entry> charges_;
-    /// All tickets that were used, by their holder, until the holder is gone.
-    std::unordered_map<ticket_id, incarnation_id> used_;
-    std::unordered_map<ticket_id, incarnation_id> voided_;
-    std::size_t running_ = 0;
+    std::unordered_map<ticket_id, charge_state> charges_;
+    /// The holders of all used tickets, kept until the holder is fenced or closed.
+    std::unordered_map<ticket_id, incarnation_id> used_tickets_;
+    std::unordered_map<ticket_id, incarnation_id> voided_tickets_;
+    std::size_t running_count_ = 0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/guard/refusal.hpp
+++ b/include/wrenswitch/decision/guard/refusal.hpp
@@ -4,36 +4,36 @@
 
 namespace wrenswitch {
 
-/// Why a guard did not and will not run an attempt.
+/// Why a guard did not run an attempt and will not run it.
 enum class refusal_reason {
     none,
     queue_full,
-    /// It could not end before its deadline.
+    /// It could not finish before its deadline.
     deadline,
-    /// The guard takes no new work.
+    /// The guard is shutting down and accepts no new requests.
     leaving,
-    /// The ticket's holder is fenced, closed or not known.
+    /// The holder of the ticket is fenced or closed, or the guard itself is not active.
     fenced,
-    /// The guard has read too little of the control stream.
+    /// The guard has not yet read enough of the control stream to check the ticket.
     behind,
-    /// The home voided the ticket.
+    /// The process that issued the ticket has voided it.
     voided,
-    /// The ticket was used here before.
+    /// The ticket was already used at this guard.
     repeated_ticket,
     target_down,
-    /// The answer that was asked for is not kept here.
+    /// The requested response is not buffered here.
     no_answer_kept,
     wrong_service,
-    /// The caller went away before it ran.
+    /// The caller disconnected before the request ran.
     cancelled,
     /// The ticket was issued before the guard registered.
     predates,
 };
 
-/// The name of a reason as counters and replies show it.
+/// The name of a reason in metrics and replies.
 std::string_view name_of(refusal_reason reason);
 
-/// True if another target may well take the request.
-bool worth_another_target(refusal_reason reason);
+/// True if another target may accept the request.
+bool can_retry_elsewhere(refusal_reason reason);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/limits/concurrency_limiter.hpp
+++ b/include/wrenswitch/decision/limits/concurrency_limiter.hpp
@@ -8,57 +8,59 @@
 
 namespace wrenswitch {
 
-/// What a limiter learns when a request ends or the target reports.
+/// The measurements of one finished request, with the last load report of its target.
 struct limiter_sample {
     instant now{};
-    /// Time to the first token, without any wait in the guard's own queue.
-    microseconds first_token{0};
-    /// Mean time between tokens of the request that ended.
-    microseconds between_tokens{0};
-    /// Requests at the target when this one ended.
+    /// Excludes the time in the guard's own queue.
+    microseconds time_to_first_token{0};
+    /// The mean time between tokens of the finished request.
+    microseconds inter_token_latency{0};
+    /// The number of requests at the target when this one finished.
     unsigned in_flight = 0;
-    /// The target refused, failed or timed out.
+    /// True if the target refused the request, failed or timed out.
     bool failed = false;
-    /// What the target last said of itself: its batch, its queue and the share of its cache memory
-    /// that is in use. Negative if it said nothing.
+    /// What the target last reported: its batch size, its queue length and the share of its cache
+    /// memory in use. Negative if it reported nothing.
     double reported_batch = -1.0;
     double reported_queue = -1.0;
     double reported_memory = -1.0;
 };
 
-/// Bounds and aims that all limiters share.
+/// The bounds and the latency objective of a limiter.
 struct limiter_settings {
-    unsigned least = 2;
-    unsigned most = 256;
-    unsigned initial = 16;
-    /// What the limiter keeps between tokens, if it looks at that.
-    microseconds between_tokens_aim = milliseconds(31);
+    unsigned min_limit = 2;
+    unsigned max_limit = 256;
+    unsigned initial_limit = 16;
+    /// The inter-token latency to maintain, for limiters that use it.
+    microseconds inter_token_latency_objective = milliseconds(31);
 };
 
-/// Decides how many requests a target may have at a time.
+/// Adjusts the number of concurrent requests at a target.
 class concurrency_limiter {
 public:
     virtual ~concurrency_limiter() = default;
 
-    /// Takes in what one ended request showed.
+    /// Updates the limit from one finished request.
     virtual void observe(const limiter_sample& sample) = 0;
 
-    /// The present limit.
+    /// The current limit.
     virtual unsigned limit() const = 0;
 
-    /// Sets an upper bound from the configuration.
-    virtual void set_most(unsigned most) = 0;
+    /// Sets the upper bound, which comes from the configuration.
+    virtual void set_max_limit(unsigned max_limit) = 0;
 };
 
-/// Makes a limiter.
+/// Creates a limiter.
 using limiter_factory = std::function<std::unique_ptr<concurrency_limiter>()>;
 
-/// The limiter with this name, or an empty function: static, aimd, gradient, token_pace.
+/// The factory for the limiter with this name, or an empty function if the name is unknown: static,
+/// aimd, gradient or token_pace.
 ///
 /// "gradient" follows the article "Adaptive Concurrency Limits for Geofence Consumers": the ratio
-/// of a windowed least round trip to the present one, growth by the root of the limit while the
-/// limit is used, a floor of one half a step and a forced re-probe. "token_pace" is our own: it
-/// keeps the time between tokens, which a batching engine shows before any queue forms, at an aim.
-limiter_factory limiter_named(std::string_view name, limiter_settings settings);
+/// of the minimum round trip in a window to the current one, growth by the square root of the limit
+/// while the limit is used, a decrease by at most one half per step, and a forced re-probe of the
+/// minimum. "token_pace" is specific to this project: it keeps the inter-token latency at an
+/// objective, because a batching engine shows load in that latency before a queue forms.
+limiter_factory make_limiter_factory(std::string_view name, limiter_settings settings);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/routing/rendezvous.hpp
+++ b/include/wrenswitch/decision/routing/rendezvous.hpp
@@ -9,14 +9,14 @@
 
 namespace wrenswitch {
 
-/// Something that can be chosen, with a name that all processes know it by.
+/// A candidate for rendezvous hashing. All processes know it by the same name.
 struct rendezvous_candidate {
     incarnation_id incarnation{};
     std::string_view name;
 };
 
-/// All candidates in the order in which a key prefers them (rendezvous hashing). A candidate that
-/// comes or goes moves only the keys that prefer it.
+/// All candidates in the order in which a key prefers them (rendezvous hashing). Adding or removing
+/// a candidate moves only the keys that prefer it.
 std::vector<incarnation_id> rendezvous_order(std::uint64_t key,
                                              std::span<const rendezvous_candidate> candidates);
 
--- a/include/wrenswitch/decision/routing/slot_counts.hpp
+++ b/include/wrenswitch/decision/routing/slot_counts.hpp
@@ -5,20 +5,21 @@
 
 namespace wrenswitch {
 
-/// Events in slots of time, of which a ring of the newest is kept. Times must not fall.
-class slot_counts {
+/// Counts events per time slot in a ring buffer of the most recent slots. Slot numbers must not
+/// decrease.
+class time_slot_counter {
 public:
-    /// How many slots are kept, the present one included.
-    static constexpr std::int64_t kept = 256;
+    /// The number of slots kept, including the current one.
+    static constexpr std::int64_t capacity = 256;
 
-    /// Counts one event in a slot, which drops those that are too old to be kept.
+    /// Counts one event in a slot and discards the slots that are now too old.
     void add(std::int64_t slot);
 
-    /// The events of a slot; zero if it isn't kept any more or has not come yet.
-    std::uint32_t at(std::int64_t slot) const;
+    /// The number of events in a slot; zero if it is too old or in the future.
+    std::uint32_t count_at(std::int64_t slot) const;
 
 private:
-    std::array<std::uint32_t, kept> counts_{};
+    std::array<std::uint32_t, capacity> counts_{};
     std::int64_t newest_ = 0;
 };
 
--- a/spec/budget.pml
+++ b/spec/budget.pml
@@ -2,7 +2,7 @@
  * guard that crashes and is replaced, late tickets, lost answers and repeated requests.
  *
  * It stands for: ledger_state (draw, settle, reclaim), budget_home (reserve, charge_ended),
- * charge_book (start, mark_for) and control_state (fences and marks).
+ * charge_tracker (begin_charge, charges_of_holder) and control_state (fences and marks).
  *
  * The log is one order of atomic steps; what lags is what each process has read of it. Home 0 may
  * stop at any point and go on later: it never reads its own fence here, the worst case.
--- a/src/decision/gateway/admission.cpp
+++ b/src/decision/gateway/admission.cpp
@@ -5,9 +5,9 @@
 namespace wrenswitch {
 namespace {
 
-/// Routes have priorities from 0 to 2; accounts' priorities stand above them.
-constexpr unsigned urgencies_an_account = 3;
-constexpr unsigned least_urgent = 9;
+/// Route priorities range from 0 to 2 and order the requests within one account priority.
+constexpr unsigned priorities_per_account = 3;
+constexpr unsigned lowest_priority = 9;
 
 }  // namespace
 
@@ -25,61 +25,61 @@
     return "unnamed";
 }
 
-std::variant<admitted_request, admission_refusal> admit(const configuration_view& configuration,
+std::variant<admitted_request, admission_refusal> admit(const active_configuration& configuration,
                                                         std::string_view host,
                                                         std::string_view path, std::string_view key,
                                                         double fraction) {
-    if (!configuration.known()) {
+    if (!configuration.is_loaded()) {
         return admission_refusal::no_configuration;
     }
-    const gateway_route* route = configuration.route_of(host, path);
+    const gateway_route* route = configuration.find_route(host, path);
     if (route == nullptr) {
         return admission_refusal::no_route;
     }
-    const route_split* split = configuration_view::choose_split(*route, fraction);
+    const route_split* split = active_configuration::choose_split(*route, fraction);
     if (split == nullptr) {
         return admission_refusal::no_service;
     }
     admitted_request admitted;
     admitted.route = *route;
     admitted.service = split->service;
-    admitted.urgency = std::min(least_urgent, route->priority);
+    admitted.priority = std::min(lowest_priority, route->priority);
     admitted.regions = route->regions;
-    admitted.configuration = configuration.current().version;
-    const gateway_service* service = configuration.service(split->service);
+    admitted.configuration_version = configuration.current().version;
+    const gateway_service* service = configuration.find_service(split->service);
     if (service != nullptr) {
         admitted.engine = service->engine;
     }
-    const gateway_account* account = configuration.account_of_key(key);
+    const gateway_account* account = configuration.find_account_by_key(key);
     if (account != nullptr) {
-        // Also on a public route, which needs no key: the caller says whose request it is.
-        admitted.key_holder = account->name;
+        // A public route needs no key, but a key that is sent still identifies the account.
+        admitted.key_owner = account->name;
         admitted.regions = intersect_regions(route->regions, account->regions);
     }
-    if (route->is_public || !configuration.wants_keys()) {
+    if (route->is_public || !configuration.requires_keys()) {
         return admitted;
     }
     if (account == nullptr) {
         return admission_refusal::unknown_key;
     }
     admitted.account = account->name;
-    admitted.urgency =
-        std::min(least_urgent, account->priority * urgencies_an_account + route->priority);
-    admitted.counted = admitted.engine.has_value() && account->prepaid.has_value();
+    admitted.priority =
+        std::min(lowest_priority, account->priority * priorities_per_account + route->priority);
+    admitted.is_metered = admitted.engine.has_value() && account->prepaid_tokens.has_value();
     return admitted;
 }
 
-allowed_regions regions_now(const configuration_view& configuration,
-                            const admitted_request& admitted, std::string_view host,
-                            std::string_view path) {
-    if (configuration.current().version == admitted.configuration) {
+allowed_regions current_allowed_regions(const active_configuration& configuration,
+                                        const admitted_request& admitted, std::string_view host,
+                                        std::string_view path) {
+    if (configuration.current().version == admitted.configuration_version) {
         return admitted.regions;
     }
     allowed_regions regions = admitted.regions;
-    if (const gateway_route* route = configuration.route_of(host, path)) {
+    if (const gateway_route* route = configuration.find_route(host, path)) {
         regions = intersect_regions(regions, route->regions);
     }
-    if (const gateway_account* account = configuration.account(admitted.key_holder)) {
+    if (const gateway_account* account = configuration.find_account(admitted.key_owner)) {
         regions = intersect_regions(regions, account->regions);
     }
     return regions;
--- a/src/decision/gateway/answer_times.cpp
+++ b/src/decision/gateway/answer_times.cpp
@@ -6,32 +6,33 @@
 namespace wrenswitch {
 namespace {
 
-/// The weight of one answer in the usual time of a service's answers.
-constexpr double answer_weight = 0.02;
+/// The weight of one response in the moving average of a service.
+constexpr double sample_weight = 0.02;
 
-/// An answer that takes this many times the usual is slow. Of answers that take 30 ms in the mean
-/// and 220 ms at the most, one in some hundreds does.
-constexpr double slow_answer = 6.0;
+/// A response that takes this many times the average counts as slow. With responses of 30 ms on
+/// average and 220 ms at most, about one in several hundred is slower.
+constexpr double slow_response_factor = 6.0;
 
-/// No silence below this says anything.
-constexpr microseconds least_silence = milliseconds(200);
+/// A shorter silence never counts, however fast the service usually is.
+constexpr microseconds min_silence_threshold = milliseconds(200);
 
 }  // namespace
 
-void answer_times::observe(const std::string& service, microseconds time) {
-    const double took = as_milliseconds(time);
-    const auto [known, first] = usual_ms_.try_emplace(service, took);
-    if (!first) {
-        known->second += answer_weight * (took - known->second);
+void response_time_tracker::observe(const std::string& service, microseconds time) {
+    const double sample_ms = as_milliseconds(time);
+    const auto [found, inserted] = average_ms_.try_emplace(service, sample_ms);
+    if (!inserted) {
+        found->second += sample_weight * (sample_ms - found->second);
     }
 }
 
-microseconds answer_times::longest_usual(std::string_view service) const {
-    const auto known = usual_ms_.find(service);
-    const double usual = known == usual_ms_.end() ? 0.0 : known->second;
-    constexpr double microseconds_a_millisecond = 1e3;
-    const microseconds longest(std::llround(slow_answer * usual * microseconds_a_millisecond));
-    return std::max(least_silence, longest);
+microseconds response_time_tracker::silence_threshold(std::string_view service) const {
+    const auto found = average_ms_.find(service);
+    const double average_ms = found == average_ms_.end() ? 0.0 : found->second;
+    constexpr double microseconds_per_millisecond = 1e3;
+    const microseconds threshold(
+        std::llround(slow_response_factor * average_ms * microseconds_per_millisecond));
+    return std::max(min_silence_threshold, threshold);
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/attempt_history.cpp
+++ b/src/decision/gateway/attempt_history.cpp
@@ -3,36 +3,37 @@
 namespace wrenswitch {
 namespace {
 
-/// How often a request is offered to targets that can't be connected to.
-constexpr unsigned most_unsent = 4;
+/// The number of failed connection attempts after which a request is not sent to another target.
+constexpr unsigned max_unsent_attempts = 4;
 
-/// How often a request is offered to another target after one that certainly didn't run it.
-constexpr unsigned most_refusals = 2;
+/// The number of times that a request is sent to another target after a refusal by one that
+/// certainly did not run it.
+constexpr unsigned max_refusals = 2;
 
 }  // namespace
 
-void attempt_history::begin(const std::string& target) {
-    tried_.push_back(target);
+void attempt_history::begin_attempt(const std::string& target) {
+    tried_targets_.push_back(target);
 }
 
-void attempt_history::note_unsent() {
-    unsent_ += 1;
+void attempt_history::record_unsent() {
+    unsent_attempts_ += 1;
 }
 
-void attempt_history::note_refused() {
+void attempt_history::record_refusal() {
     refusals_ += 1;
 }
 
-bool attempt_history::may_offer_again() const {
-    return unsent_ < most_unsent;
+bool attempt_history::can_retry_unsent() const {
+    return unsent_attempts_ < max_unsent_attempts;
 }
 
-bool attempt_history::may_send_again(request_kind kind, unsigned most_attempts) const {
+bool attempt_history::can_resend(request_kind kind, unsigned max_attempts) const {
     if (may_have_run_ && !may_repeat(kind)) {
         return false;
     }
-    const unsigned runs = number() - unsent_ - refusals_;
-    return runs < most_attempts && refusals_ <= most_refusals;
+    const unsigned possible_runs = attempt_number() - unsent_attempts_ - refusals_;
+    return possible_runs < max_attempts && refusals_ <= max_refusals;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/cold_targets.cpp
+++ b/src/decision/gateway/cold_targets.cpp
@@ -62,7 +62,7 @@
 
 microseconds warmup_limiter::warmup_duration(std::string_view service) const {
     const auto warmup = warmups_.find(service);
-    return warmup == warmups_.end() ? microseconds(0) : warmup->second.length;
+    return warmup == warmups_.end() ? microseconds(0) : warmup->second.duration;
 }
 
 void warmup_limiter::mark_cold(instant now, std::string_view target, std::string_view service,
@@ -93,7 +93,7 @@
 /// The time between two of the share's permits. Zero if there is no limit.
 microseconds warmup_limiter::interval(std::string_view service, permit_share share) const {
     const auto warmup = warmups_.find(service);
-    const double rate = warmup == warmups_.end() ? 0.0 : warmup->second.requests_per_second;
+    const double rate = warmup == warmups_.end() ? 0.0 : warmup->second.max_requests_per_second;
     if (rate <= 0.0) {
         return microseconds(0);
     }
--- a/src/decision/gateway/configuration_view.cpp
+++ b/src/decision/gateway/configuration_view.cpp
@@ -5,42 +5,42 @@
 namespace wrenswitch {
 namespace {
 
-/// The host without its port, in lower case.
-std::string plain_host(std::string_view host) {
+/// The host in lower case, without its port.
+std::string normalized_host(std::string_view host) {
     std::string name(host.substr(0, host.find(':')));
     std::transform(name.begin(), name.end(), name.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
     return name;
 }
 
-/// What can't be read allows nothing. Refusing the whole configuration for it would keep keys in
-/// force that were taken away, and what the limit is to end.
-template <typename bound_parts>
-void take_strictly(bound_parts& parts) {
-    for (auto& part : parts) {
-        if (part.regions_unreadable) {
-            part.regions = region_set{};
+/// Restrictions that cannot be parsed allow no region. Rejecting the whole configuration instead
+/// would keep revoked keys valid, as well as whatever the restriction is meant to end.
+template <typename restricted_items>
+void deny_unreadable_regions(restricted_items& items) {
+    for (auto& item : items) {
+        if (item.regions_unreadable) {
+            item.regions = region_set{};
         }
     }
 }
 
-template <typename bound_parts>
-void add_unreadable(std::vector<std::string>& places, std::string_view kind,
-                    const bound_parts& parts) {
-    for (const auto& part : parts) {
-        if (part.regions_unreadable) {
-            places.push_back(std::string(kind) + "/" + part.name + "/regions");
+template <typename restricted_items>
+void append_unreadable_paths(std::vector<std::string>& paths, std::string_view kind,
+                             const restricted_items& items) {
+    for (const auto& item : items) {
+        if (item.regions_unreadable) {
+            paths.push_back(std::string(kind) + "/" + item.name + "/regions");
         }
     }
 }
 
 }  // namespace
 
-std::vector<std::string> unreadable_limits(const gateway_configuration& configuration) {
-    std::vector<std::string> places;
-    add_unreadable(places, "routes", configuration.routes);
-    add_unreadable(places, "accounts", configuration.accounts);
-    return places;
+std::vector<std::string> unreadable_region_limits(const gateway_configuration& configuration) {
+    std::vector<std::string> paths;
+    append_unreadable_paths(paths, "routes", configuration.routes);
+    append_unreadable_paths(paths, "accounts", configuration.accounts);
+    return paths;
 }
 
 bool may_repeat(request_kind kind) {
@@ -51,21 +51,21 @@
     return kind == request_kind::stream || kind == request_kind::resumable_stream;
 }
 
-bool configuration_view::apply(gateway_configuration configuration) {
-    if (known_ && configuration.version <= configuration_.version) {
+bool active_configuration::apply(gateway_configuration configuration) {
+    if (is_loaded_ && configuration.version <= configuration_.version) {
         return false;
     }
     configuration_ = std::move(configuration);
-    take_strictly(configuration_.routes);
-    take_strictly(configuration_.accounts);
-    known_ = true;
+    deny_unreadable_regions(configuration_.routes);
+    deny_unreadable_regions(configuration_.accounts);
+    is_loaded_ = true;
     by_host_.clear();
     by_key_.clear();
     accounts_.clear();
     services_.clear();
     const std::vector<gateway_route>& routes = configuration_.routes;
     for (std::size_t index = 0; index < routes.size(); ++index) {
-        by_host_[plain_host(routes[index].host)].push_back(index);
+        by_host_[normalized_host(routes[index].host)].push_back(index);
     }
     for (auto& [host, indices] : by_host_) {
         std::stable_sort(
@@ -86,9 +86,9 @@
     return true;
 }
 
-const gateway_route* configuration_view::route_of(std::string_view host,
-                                                  std::string_view path) const {
-    const auto found = by_host_.find(plain_host(host));
+const gateway_route* active_configuration::find_route(std::string_view host,
+                                                      std::string_view path) const {
+    const auto found = by_host_.find(normalized_host(host));
     if (found == by_host_.end()) {
         return nullptr;
     }
@@ -101,35 +101,35 @@
     return nullptr;
 }
 
-const gateway_account* configuration_view::account_of_key(std::string_view key) const {
+const gateway_account* active_configuration::find_account_by_key(std::string_view key) const {
     const auto found = by_key_.find(std::string(key));
     return found == by_key_.end() ? nullptr : &configuration_.accounts[found->second];
 }
 
-const gateway_account* configuration_view::account(std::string_view name) const {
+const gateway_account* active_configuration::find_account(std::string_view name) const {
     const auto found = accounts_.find(std::string(name));
     return found == accounts_.end() ? nullptr : &configuration_.accounts[found->second];
 }
 
-const gateway_service* configuration_view::service(std::string_view name) const {
+const gateway_service* active_configuration::find_service(std::string_view name) const {
     const auto found = services_.find(std::string(name));
     return found == services_.end() ? nullptr : &configuration_.services[found->second];
 }
 
-const route_split* configuration_view::choose_split(const gateway_route& route, double fraction) {
+const route_split* active_configuration::choose_split(const gateway_route& route, double position) {
     double sum = 0.0;
     for (const route_split& split : route.splits) {
         sum += split.weight;
     }
-    double rest = fraction * sum;
+    double remaining = position * sum;
     const route_split* last = nullptr;
     for (const route_split& split : route.splits) {
         if (split.weight <= 0.0) {
             continue;
         }
         last = &split;
-        rest -= split.weight;
-        if (rest < 0.0) {
+        remaining -= split.weight;
+        if (remaining < 0.0) {
             break;
         }
     }
--- a/src/decision/gateway/isolation_watch.cpp
+++ b/src/decision/gateway/isolation_watch.cpp
@@ -3,24 +3,25 @@
 namespace wrenswitch {
 namespace {
 
-/// One silent peer may be dead; two and nobody else to hear mean that it's the entry's own links.
-constexpr std::size_t least_silent = 2;
+/// A single unresponsive peer may have failed; two of them, with no contact to any other host,
+/// indicate a fault of this gateway's own links.
+constexpr std::size_t min_unresponsive_peers = 2;
 
-/// The silence that counts: some times what any peer that is well takes for an answer, and less
-/// than callers lose by coming back to another entry.
-constexpr microseconds least_silence = milliseconds(250);
+/// Several times the response time of a healthy peer, and less than the time that callers lose by
+/// reconnecting to another gateway.
+constexpr microseconds min_silence = milliseconds(250);
 
 }  // namespace
 
-void isolation_watch::heard(instant when) {
-    if (when > heard_) {
-        heard_ = when;
-        silent_.clear();
+void isolation_detector::record_contact(instant at) {
+    if (at > last_contact_) {
+        last_contact_ = at;
+        unresponsive_.clear();
     }
 }
 
-bool isolation_watch::isolated(instant now) const {
-    return silent_.size() >= least_silent && now - heard_ >= least_silence;
+bool isolation_detector::is_isolated(instant now) const {
+    return unresponsive_.size() >= min_unresponsive_peers && now - last_contact_ >= min_silence;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/link_watch.cpp
+++ b/src/decision/gateway/link_watch.cpp
@@ -6,73 +6,79 @@
 namespace wrenswitch {
 namespace {
 
-/// What came in counts for about so long: some of the largest bodies.
-constexpr microseconds rate_memory = milliseconds(200);
+/// The time constant of the average receive rate: the transmission time of several bodies of the
+/// maximum size.
+constexpr microseconds receive_rate_time_constant = milliseconds(200);
 
-/// A link counts as full by what comes in from this share on: heads of packets aren't counted here.
-constexpr double full_share = 0.88;
+/// The link counts as full above this share of its capacity in received data. It is below 1 because
+/// packet headers are not counted here.
+constexpr double full_received_share = 0.88;
 
-/// It has room again below this one.
-constexpr double free_share = 0.6;
+/// The link stops counting as full below this share.
+constexpr double clear_received_share = 0.6;
 
-/// What may wait to go out before it counts as full, and below which it has room: a message of the
-/// fleet is waited for 20 ms at the least.
-constexpr microseconds full_queue = milliseconds(60);
-constexpr microseconds free_queue = milliseconds(15);
+/// The send queue delays at which the link counts as full, and below which it stops counting as
+/// full. Messages between hosts time out after 20 ms at the earliest.
+constexpr microseconds full_send_queue = milliseconds(60);
+constexpr microseconds clear_send_queue = milliseconds(15);
 
-/// A pause in which nobody looked says nothing of what the link carried.
-constexpr microseconds longest_look = seconds(1);
+/// After a longer pause between samples the elapsed time says nothing about the load of the link.
+constexpr microseconds max_sample_interval = seconds(1);
 
 }  // namespace
 
-void link_watch::observe(instant now, std::uint64_t received, std::uint64_t sent) {
-    const microseconds passed = now - looked_;
-    const bool counts = looked_ != instant{} && passed > microseconds(0) && passed < longest_look &&
-                        settings_.bytes_per_second > 0.0;
-    if (counts) {
-        const double capacity = settings_.bytes_per_second * as_seconds(passed);
+void link_congestion_detector::observe(instant now, std::uint64_t received, std::uint64_t sent) {
+    const microseconds elapsed = now - last_sample_;
+    const bool is_valid_sample = last_sample_ != instant{} && elapsed > microseconds(0) &&
+                                 elapsed < max_sample_interval && settings_.bytes_per_second > 0.0;
+    if (is_valid_sample) {
+        const double capacity = settings_.bytes_per_second * as_seconds(elapsed);
         const double share = static_cast<double>(received - received_) / capacity;
-        const double weight = 1.0 - std::exp(-as_seconds(passed) / as_seconds(rate_memory));
+        const double weight =
+            1.0 - std::exp(-as_seconds(elapsed) / as_seconds(receive_rate_time_constant));
         received_share_ += weight * (share - received_share_);
-        waiting_bytes_ =
-            std::max(0.0, waiting_bytes_ + static_cast<double>(sent - sent_) - capacity);
-        decide(now);
+        send_queue_bytes_ =
+            std::max(0.0, send_queue_bytes_ + static_cast<double>(sent - sent_) - capacity);
+        update_state(now);
     }
-    looked_ = now;
+    last_sample_ = now;
     received_ = received;
     sent_ = sent;
 }
 
-microseconds link_watch::send_queue() const {
+microseconds link_congestion_detector::send_queue_delay() const {
     if (settings_.bytes_per_second <= 0.0) {
         return microseconds(0);
     }
-    constexpr double microseconds_a_second = 1e6;
-    return microseconds(static_cast<std::int64_t>(waiting_bytes_ / settings_.bytes_per_second *
-                                                  microseconds_a_second));
+    constexpr double microseconds_per_second = 1e6;
+    return microseconds(static_cast<std::int64_t>(send_queue_bytes_ / settings_.bytes_per_second *
+                                                  microseconds_per_second));
 }
 
-void link_watch::decide(instant now) {
-    const bool over = received_share_ > full_share || send_queue() > full_queue;
-    const bool under = received_share_ < free_share && send_queue() < free_queue;
-    const bool full = full_ ? !under : over;
-    if (full != full_) {
-        full_ = full;
-        full_changed_ = now;
+void link_congestion_detector::update_state(instant now) {
+    const bool above_full =
+        received_share_ > full_received_share || send_queue_delay() > full_send_queue;
+    const bool below_clear =
+        received_share_ < clear_received_share && send_queue_delay() < clear_send_queue;
+    const bool full_now = full_ ? !below_clear : above_full;
+    if (full_now != full_) {
+        full_ = full_now;
+        full_changed_at_ = now;
     }
-    const microseconds since = now - full_changed_;
-    if (sheds_) {
-        sheds_ = now < shed_until_;
+    const microseconds full_duration = now - full_changed_at_;
+    if (shedding_) {
+        shedding_ = now < shed_until_;
         return;
     }
-    if (!full_ || since < settings_.patience) {
+    if (!full_ || full_duration < settings_.shed_delay) {
         return;
     }
-    const bool again = shed_length_ > microseconds(0) && now - shed_until_ < settings_.soon;
-    shed_length_ =
-        again ? std::min(shed_length_ * 2, settings_.longest_length) : settings_.first_length;
-    sheds_ = true;
-    shed_until_ = now + shed_length_;
+    const bool is_repeat =
+        shed_duration_ > microseconds(0) && now - shed_until_ < settings_.repeat_window;
+    shed_duration_ = is_repeat ? std::min(shed_duration_ * 2, settings_.max_shed_duration)
+                               : settings_.initial_shed_duration;
+    shedding_ = true;
+    shed_until_ = now + shed_duration_;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/overload_watch.cpp
+++ b/src/decision/gateway/overload_watch.cpp
@@ -5,48 +5,49 @@
 namespace wrenswitch {
 namespace {
 
-/// How long the least lag is looked for, and how many looks that takes at least: a single pause of
-/// the processor must not count as a queue.
+/// The length of a window and the samples that it needs at least. The minimum lag of a window
+/// excludes single pauses of the processor, which must not count as a queue.
 constexpr microseconds window = milliseconds(100);
-constexpr unsigned least_looks = 2;
+constexpr unsigned min_window_samples = 2;
 
-/// The longest queue that may stay: a request that waits so long at its entry is still in time, and
-/// half a second after a caller left, or a request's time was over, is far. With 15 ms an entry
-/// that could have served them in time refused a fifth of its requests, whose callers came back to
-/// it.
-constexpr microseconds standing_lag = milliseconds(100);
+/// The longest standing queue that is tolerated. A request that waits this long can still meet its
+/// deadline, and the lag is far below the half second after which cancellations are too late. With
+/// 15 ms a gateway that could have served its requests in time refused a fifth of them, and their
+/// callers came back to it.
+constexpr microseconds max_standing_lag = milliseconds(100);
 
-/// How fast the share rises in the time of a window while a queue stays, for each time that it is
-/// as long as it may be, and how many of these count.
-constexpr double rise = 0.03;
-constexpr double most_times = 3.0;
+/// The increase of the share per window while the queue is too long, for each multiple of the
+/// tolerated lag, and the highest multiple that counts.
+constexpr double share_increase = 0.03;
+constexpr double max_lag_ratio = 3.0;
 
-/// How fast it falls in that time while none does.
-constexpr double fall = 0.05;
+/// The decrease of the share per window while the queue is short enough.
+constexpr double share_decrease = 0.05;
 
-/// Something is always taken in, or nothing would show that the queue has gone.
-constexpr double most_share = 0.9;
+/// Some requests are always accepted; without them nothing would show that the queue has gone.
+constexpr double max_refused_share = 0.9;
 
 }  // namespace
 
-void overload_watch::observe(instant now, microseconds lag) {
-    least_lag_ = looks_ > 0 ? std::min(least_lag_, lag) : lag;
-    looks_ += 1;
-    if (window_began_ == instant{}) {
-        window_began_ = now;
+void overload_detector::observe(instant now, microseconds lag) {
+    min_lag_ = window_samples_ > 0 ? std::min(min_lag_, lag) : lag;
+    window_samples_ += 1;
+    if (window_start_ == instant{}) {
+        window_start_ = now;
     }
-    const microseconds passed = now - window_began_;
-    if (passed < window || looks_ < least_looks) {
+    const microseconds elapsed = now - window_start_;
+    if (elapsed < window || window_samples_ < min_window_samples) {
         return;
     }
-    const double times =
-        static_cast<double>(least_lag_.count()) / static_cast<double>(standing_lag.count());
-    const double change = times >= 1.0 ? rise * std::min(times, most_times) : -fall;
+    const double lag_ratio =
+        static_cast<double>(min_lag_.count()) / static_cast<double>(max_standing_lag.count());
+    const double change =
+        lag_ratio >= 1.0 ? share_increase * std::min(lag_ratio, max_lag_ratio) : -share_decrease;
     const double windows =
-        static_cast<double>(passed.count()) / static_cast<double>(window.count());
-    share_ = std::clamp(share_ + change * windows, 0.0, most_share);
-    window_began_ = now;
-    looks_ = 0;
+        static_cast<double>(elapsed.count()) / static_cast<double>(window.count());
+    refused_share_ = std::clamp(refused_share_ + change * windows, 0.0, max_refused_share);
+    window_start_ = now;
+    window_samples_ = 0;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/region_table.cpp
+++ b/src/decision/gateway/region_table.cpp
@@ -14,7 +14,7 @@
     return found == regions_.end() ? std::string_view{} : std::string_view(found->second);
 }
 
-bool region_table::are_near(std::string_view left, std::string_view right) const {
+bool region_table::in_same_region(std::string_view left, std::string_view right) const {
     if (left == right) {
         return true;
     }
@@ -22,7 +22,7 @@
     return !region.empty() && region == region_of(right);
 }
 
-bool region_table::has_several() const {
+bool region_table::has_multiple_regions() const {
     return std::any_of(regions_.begin(), regions_.end(), [this](const auto& domain) {
         return domain.second != regions_.begin()->second;
     });
--- a/src/decision/gateway/region_watch.cpp
+++ b/src/decision/gateway/region_watch.cpp
@@ -6,75 +6,81 @@
 namespace wrenswitch {
 namespace {
 
-/// One silent entry is that entry's own trouble, if its region has others.
-constexpr std::size_t enough_silent = 2;
+/// A single unresponsive gateway may have failed itself, if its region has others.
+constexpr std::size_t min_unresponsive = 2;
 
-/// How long a region's entries are found silent, again and again, before it is held for cut off:
-/// longer than a busy entry or a lost packet takes, 0.3 s. A single silence may be followed by
-/// nothing for long, if nobody asks.
-constexpr microseconds least_silence = seconds(1);
+/// How long the gateways of a region must fail to respond, with repeated failures, before it counts
+/// as unreachable. Longer than a busy gateway or a lost packet delays a response, 0.3 s. It is
+/// measured between failures, because after a single one there may be no calls for a long time.
+constexpr microseconds min_outage_duration = seconds(1);
 
 }  // namespace
 
-region_watch::region_watch(std::string own_region) : own_region_(std::move(own_region)) {}
+region_outage_detector::region_outage_detector(std::string own_region)
+    : own_region_(std::move(own_region)) {}
 
-void region_watch::take(instant now, const member_answers& member) {
+void region_outage_detector::apply_counts(instant now, const member_answers& member) {
     region_state& region = regions_[std::string(member.region)];
     region.members += 1;
-    counts& before = seen_[std::string(member.host)];
-    // A new process begins to count anew.
-    const bool anew = member.answers < before.answers || member.silences < before.silences;
-    const counts from = anew ? counts{} : before;
-    region.answered = region.answered || member.answers > from.answers;
-    if (member.silences > from.silences) {
-        region.since = region.silent.empty() ? now : region.since;
-        region.last_silence = now;
-        region.silent.emplace(member.host);
+    counts& previous = last_counts_[std::string(member.host)];
+    // A restarted process counts from zero again.
+    const bool was_reset =
+        member.answers < previous.responses || member.silences < previous.failures;
+    const counts baseline = was_reset ? counts{} : previous;
+    region.responded = region.responded || member.answers > baseline.responses;
+    if (member.silences > baseline.failures) {
+        region.first_failure = region.unresponsive.empty() ? now : region.first_failure;
+        region.last_failure = now;
+        region.unresponsive.emplace(member.host);
     }
-    before = {member.answers, member.silences};
+    previous = {member.answers, member.silences};
 }
 
-std::vector<region_news> region_watch::look(instant now, std::span<const member_answers> members) {
+std::vector<region_status_change> region_outage_detector::update(
+    instant now, std::span<const member_answers> members) {
     for (auto& [name, region] : regions_) {
         region.members = 0;
-        region.answered = false;
+        region.responded = false;
     }
     for (const member_answers& member : members) {
         if (!member.region.empty() && member.region != own_region_) {
-            take(now, member);
+            apply_counts(now, member);
         }
     }
-    std::erase_if(seen_, [members](const auto& known) {
+    std::erase_if(last_counts_, [members](const auto& known) {
         return std::none_of(members.begin(), members.end(),
-                            [&known](const auto& each) { return each.host == known.first; });
+                            [&known](const auto& member) { return member.host == known.first; });
     });
-    std::vector<region_news> news;
+    std::vector<region_status_change> changes;
     for (auto& [name, region] : regions_) {
-        std::erase_if(region.silent,
-                      [this](const std::string& host) { return !seen_.contains(host); });
-        const std::size_t enough = std::min(enough_silent, region.members);
-        const bool silent = !region.answered && region.members > 0 &&
-                            region.silent.size() >= enough &&
-                            region.last_silence - region.since >= least_silence;
-        if (silent && !region.cut_off) {
-            region.cut_off = true;
-            news.push_back({name, true, region.silent.size(), region.members, now - region.since});
-        } else if (region.answered && region.cut_off) {
-            region.cut_off = false;
-            news.push_back({name, false, region.silent.size(), region.members, now - region.since});
+        std::erase_if(region.unresponsive,
+                      [this](const std::string& host) { return !last_counts_.contains(host); });
+        const std::size_t required_unresponsive = std::min(min_unresponsive, region.members);
+        const bool unreachable = !region.responded && region.members > 0 &&
+                                 region.unresponsive.size() >= required_unresponsive &&
+                                 region.last_failure - region.first_failure >= min_outage_duration;
+        if (unreachable && !region.unreachable) {
+            region.unreachable = true;
+            changes.push_back({name, true, region.unresponsive.size(), region.members,
+                               now - region.first_failure});
+        } else if (region.responded && region.unreachable) {
+            region.unreachable = false;
+            changes.push_back({name, false, region.unresponsive.size(), region.members,
+                               now - region.first_failure});
         }
-        if (region.answered) {
-            region.silent.clear();
+        if (region.responded) {
+            region.unresponsive.clear();
         }
     }
-    // A region that has no entries any more is neither cut off nor back.
+    // A region without gateways is neither unreachable nor reachable again.
     std::erase_if(regions_, [](const auto& known) { return known.second.members == 0; });
-    return news;
+    return changes;
 }
 
-std::size_t region_watch::cut_off() const {
-    return static_cast<std::size_t>(std::count_if(
-        regions_.begin(), regions_.end(), [](const auto& known) { return known.second.cut_off; }));
+std::size_t region_outage_detector::unreachable_count() const {
+    return static_cast<std::size_t>(
+        std::count_if(regions_.begin(), regions_.end(),
+                      [](const auto& known) { return known.second.unreachable; }));
 }
 
 }  // namespace wrenswitch
--- a/src/decision/gateway/target_pool.cpp
+++ b/src/decision/gateway/target_pool.cpp
@@ -38,7 +38,7 @@
 
 target_pool::target_pool(target_pool_settings settings, random_source& random)
     : settings_(std::move(settings)),
-      has_multiple_regions_(settings_.regions.has_several()),
+      has_multiple_regions_(settings_.regions.has_multiple_regions()),
       random_(random),
       warmup_(settings_.gateway_count, random),
       limits_(settings_.peers, random),
@@ -450,7 +450,7 @@
 
 bool target_pool::is_in_other_region(const target_state& state) const {
     return has_multiple_regions_ &&
-           !settings_.regions.are_near(settings_.failure_domain, state.target.failure_domain);
+           !settings_.regions.in_same_region(settings_.failure_domain, state.target.failure_domain);
 }
 
 /// Engines copy only from engines in the same region: data that is restricted to a region stays
--- a/src/decision/guard/answer_buffer.cpp
+++ b/src/decision/guard/answer_buffer.cpp
@@ -2,82 +2,82 @@
 
 namespace wrenswitch {
 
-void answer_buffer::begin(const digest& key) {
-    drop(key);
-    answers_[key] = kept_answer{};
+void response_buffer::begin(const digest& key) {
+    discard(key);
+    responses_[key] = buffered_response{};
 }
 
-void answer_buffer::set_head(const digest& key, unsigned status, std::string_view content_type) {
-    const auto found = answers_.find(key);
-    if (found == answers_.end()) {
+void response_buffer::set_head(const digest& key, unsigned status, std::string_view content_type) {
+    const auto found = responses_.find(key);
+    if (found == responses_.end()) {
         return;
     }
     found->second.status = status;
     found->second.content_type = content_type;
 }
 
-void answer_buffer::append(const digest& key, std::string_view chunk) {
-    const auto found = answers_.find(key);
-    if (found == answers_.end()) {
+void response_buffer::append(const digest& key, std::string_view chunk) {
+    const auto found = responses_.find(key);
+    if (found == responses_.end()) {
         return;
     }
     found->second.chunks.emplace_back(chunk);
     found->second.bytes += chunk.size();
-    bytes_ += chunk.size();
-    make_room(key);
+    total_bytes_ += chunk.size();
+    evict_to_fit(key);
 }
 
-void answer_buffer::end(const digest& key, instant now, bool whole, tokens cost) {
-    const auto found = answers_.find(key);
-    if (found == answers_.end()) {
+void response_buffer::finish(const digest& key, instant now, bool complete, tokens cost) {
+    const auto found = responses_.find(key);
+    if (found == responses_.end()) {
         return;
     }
-    found->second.ended = true;
-    found->second.whole = whole;
+    found->second.finished = true;
+    found->second.complete = complete;
     found->second.cost = cost;
-    found->second.ended_at = now;
-    ended_.push_back(key);
+    found->second.finished_at = now;
+    finished_order_.push_back(key);
 }
 
-void answer_buffer::drop(const digest& key) {
-    const auto found = answers_.find(key);
-    if (found == answers_.end()) {
+void response_buffer::discard(const digest& key) {
+    const auto found = responses_.find(key);
+    if (found == responses_.end()) {
         return;
     }
-    bytes_ -= found->second.bytes;
-    answers_.erase(found);
+    total_bytes_ -= found->second.bytes;
+    responses_.erase(found);
 }
 
-const kept_answer* answer_buffer::find(const digest& key) const {
-    const auto found = answers_.find(key);
-    return found == answers_.end() ? nullptr : &found->second;
+const buffered_response* response_buffer::find(const digest& key) const {
+    const auto found = responses_.find(key);
+    return found == responses_.end() ? nullptr : &found->second;
 }
 
-void answer_buffer::expire(instant now) {
-    while (!ended_.empty()) {
-        const auto found = answers_.find(ended_.front());
-        const bool gone = found == answers_.end() || !found->second.ended;
-        if (!gone && now - found->second.ended_at < settings_.keep_ended_for) {
+void response_buffer::expire(instant now) {
+    while (!finished_order_.empty()) {
+        const auto found = responses_.find(finished_order_.front());
+        const bool gone = found == responses_.end() || !found->second.finished;
+        if (!gone && now - found->second.finished_at < settings_.retention) {
             return;
         }
         if (!gone) {
-            drop(ended_.front());
+            discard(finished_order_.front());
         }
-        ended_.pop_front();
+        finished_order_.pop_front();
     }
 }
 
-void answer_buffer::make_room(const digest& growing) {
-    while (bytes_ > settings_.most_bytes && !ended_.empty()) {
-        const digest oldest = ended_.front();
-        ended_.pop_front();
-        const auto found = answers_.find(oldest);
-        if (found != answers_.end() && found->second.ended) {
-            drop(oldest);
+void response_buffer::evict_to_fit(const digest& growing_key) {
+    while (total_bytes_ > settings_.max_bytes && !finished_order_.empty()) {
+        const digest oldest = finished_order_.front();
+        finished_order_.pop_front();
+        const auto found = responses_.find(oldest);
+        if (found != responses_.end() && found->second.finished) {
+            discard(oldest);
         }
     }
-    if (bytes_ > settings_.most_bytes) {
-        drop(growing);
+    if (total_bytes_ > settings_.max_bytes) {
+        discard(growing_key);
     }
 }
 
--- a/src/decision/guard/refusal.cpp
+++ b/src/decision/guard/refusal.cpp
@@ -12,7 +12,7 @@
     return names.at(static_cast<std::size_t>(reason));
 }
 
-bool worth_another_target(refusal_reason reason) {
+bool can_retry_elsewhere(refusal_reason reason) {
     switch (reason) {
         case refusal_reason::queue_full:
         case refusal_reason::deadline:
--- a/src/experiment/limiter_run.cpp
+++ b/src/experiment/limiter_run.cpp
@@ -93,7 +93,8 @@
             arrive(next_arrival_);
         }
         engine_.end_step();
-        for (const queued_request& late : queue_.take_hopeless(instant(now_), microseconds(0))) {
+        for (const queued_request& late :
+             queue_.remove_unmeetable(instant(now_), microseconds(0))) {
             ++score_.refused;
             requests_.erase(raw(late.attempt));
         }
@@ -127,12 +128,12 @@
     queued_request queued;
     queued.attempt = attempt_id{id};
     queued.client_account = "account-" + std::to_string(id % 10);
-    queued.bound = static_cast<tokens>(state.wanted);
-    queued.arrived = instant(time);
+    queued.token_bound = static_cast<tokens>(state.wanted);
+    queued.arrived_at = instant(time);
     queued.deadline = instant(time + longest_wait);
     requests_[id] = state;
-    std::optional<queued_request> displaced;
-    if (queue_.push(queued, displaced) != refusal_reason::none) {
+    std::optional<queued_request> evicted;
+    if (queue_.push(queued, evicted) != refusal_reason::none) {
         ++score_.refused;
         requests_.erase(id);
     }
@@ -179,8 +180,8 @@
     score_.between_tokens_ms.add(as_seconds(between) * milliseconds_a_second);
     limiter_sample sample;
     sample.now = instant(now);
-    sample.first_token = state.first - state.started;
-    sample.between_tokens = between;
+    sample.time_to_first_token = state.first - state.started;
+    sample.inter_token_latency = between;
     sample.in_flight = in_flight_;
     sample.reported_queue = static_cast<double>(engine_.queue());
     sample.reported_memory = engine_.memory_share();
--- a/src/experiment/slopes.cpp
+++ b/src/experiment/slopes.cpp
@@ -253,8 +253,8 @@
         figures["picker_us_a_decision" + suffix] =
             microseconds_a_call(100'000, [&](std::size_t index) {
                 const routable_target* target = picker.pick(instant{}, "model", index % 1000, {});
-                picker.sent(target->guard, index % 1000);
-                picker.finished(target->guard);
+                picker.record_sent(target->guard, index % 1000);
+                picker.record_finished(target->guard);
             });
     }
     return figures;
--- a/src/main/wrenload/policy_limits.cpp
+++ b/src/main/wrenload/policy_limits.cpp
@@ -87,18 +87,18 @@
     command.parse(words);
 
     limiter_settings settings;
-    settings.most = 512;
-    settings.initial = 32;
+    settings.max_limit = 512;
+    settings.initial_limit = 32;
     limiter_settings low = settings;
-    low.initial = 26;
+    low.initial_limit = 26;
     limiter_settings high = settings;
-    high.initial = 220;
+    high.initial_limit = 220;
     const std::vector<std::pair<std::string, limiter_factory>> compared{
-        {"static low", limiter_named("static", low)},
-        {"static high", limiter_named("static", high)},
-        {"aimd", limiter_named("aimd", settings)},
-        {"gradient", limiter_named("gradient", settings)},
-        {"token_pace", limiter_named("token_pace", settings)},
+        {"static low", make_limiter_factory("static", low)},
+        {"static high", make_limiter_factory("static", high)},
+        {"aimd", make_limiter_factory("aimd", settings)},
+        {"gradient", make_limiter_factory("gradient", settings)},
+        {"token_pace", make_limiter_factory("token_pace", settings)},
     };
     json rows = json::array();
     if (!as_json.getValue()) {
--- a/src/roles/entry/entry.cpp
+++ b/src/roles/entry/entry.cpp
@@ -261,7 +261,7 @@
 
 void entry::on_pong(const wire::Pong& pong) {
     if (pong.has_load()) {
-        picker_->reported(incarnation_id{pong.sender()}, decode_load(pong.load()));
+        picker_->update_load(incarnation_id{pong.sender()}, decode_load(pong.load()));
     }
 }
 
--- a/src/roles/entry/request_flow.cpp
+++ b/src/roles/entry/request_flow.cpp
@@ -56,7 +56,7 @@
     parts_.counters.counter("requests_total") += 1;
     parts_.events.add(timeline_kind::request_received, name_, {}, {},
                       request_.client_account + " " + request_.service);
-    parts_.retries.first_try(monotonic_now());
+    parts_.retries.record_first_try(monotonic_now());
     exchange_->on_closed([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->on_caller_gone();
@@ -261,7 +261,7 @@
     started_ = false;
     next_chunk_ = 0;
     reply_.restart();
-    parts_.picker.sent(guard_, request_.prefix);
+    parts_.picker.record_sent(guard_, request_.prefix);
     counted_at_guard_ = true;
 
     wire::Envelope message;
@@ -311,7 +311,7 @@
 }
 
 void request_flow::on_accepted(incarnation_id guard, const wire::Accepted& accepted) {
-    parts_.picker.reported(guard, decode_load(accepted.load()));
+    parts_.picker.update_load(guard, decode_load(accepted.load()));
     const bool concerned = attempt_id{accepted.attempt()} == attempt_ &&
                            (phase_ == flow_phase::dispatched || phase_ == flow_phase::accepted ||
                             phase_ == flow_phase::voiding || phase_ == flow_phase::joining);
@@ -353,14 +353,14 @@
 void request_flow::on_refused(incarnation_id guard, const wire::Refused& refused) {
     const instant now = monotonic_now();
     const refusal_reason reason = decode_refusal(refused.reason());
-    parts_.picker.reported(guard, decode_load(refused.load()));
+    parts_.picker.update_load(guard, decode_load(refused.load()));
     const bool concerned = attempt_id{refused.attempt()} == attempt_ && phase_ != flow_phase::ended;
     if (!concerned) {
         return;
     }
     ++step_;
     if (std::exchange(counted_at_guard_, false)) {
-        parts_.picker.finished(guard);
+        parts_.picker.record_finished(guard);
     }
     if (phase_ == flow_phase::joining) {
         // The answer is not kept there any more.
@@ -368,7 +368,7 @@
         return;
     }
     if (reason == refusal_reason::target_down) {
-        parts_.picker.failed(now, guard);
+        parts_.picker.record_failure(now, guard);
     }
     parts_.counters.counter(labelled("tries_refused_total", {{"reason", name_of(reason)}})) += 1;
     started_ = false;
@@ -381,7 +381,7 @@
         // The ticket is worth nothing any more; a new one may do.
         ticket_ = ticket{};
         tried_homes_.clear();
-        if (tries_ < most_tries && parts_.retries.take_retry(monotonic_now())) {
+        if (tries_ < most_tries && parts_.retries.try_acquire_retry(monotonic_now())) {
             phase_ = flow_phase::backing_off;
             after(backoff_of(tries_, parts_.random), &request_flow::reserve);
             return;
@@ -391,7 +391,7 @@
              overload_retry);
         return;
     }
-    if (worth_another_target(reason)) {
+    if (can_retry_elsewhere(reason)) {
         retry_elsewhere(microseconds(0));
         return;
     }
@@ -402,7 +402,7 @@
 }
 
 void request_flow::retry_elsewhere(microseconds least_wait) {
-    const bool allowed = tries_ < most_tries && parts_.retries.take_retry(monotonic_now());
+    const bool allowed = tries_ < most_tries && parts_.retries.try_acquire_retry(monotonic_now());
     if (!allowed) {
         release_ticket();
         parts_.counters.counter("retries_denied_total") += 1;
@@ -417,7 +417,7 @@
 
 void request_flow::ask_to_void() {
     parts_.counters.counter("dispatches_unanswered_total") += 1;
-    parts_.picker.failed(monotonic_now(), guard_);
+    parts_.picker.record_failure(monotonic_now(), guard_);
     phase_ = flow_phase::voiding;
     wire::Envelope message;
     message.set_sender(raw(parts_.own));
@@ -440,7 +440,7 @@
         ++step_;
         parts_.events.add(timeline_kind::attempt_voided, name_, attempt_, ticket_.id, "");
         if (std::exchange(counted_at_guard_, false)) {
-            parts_.picker.finished(guard_);
+            parts_.picker.record_finished(guard_);
         }
         retry_elsewhere(microseconds(0));
         return;
@@ -465,14 +465,14 @@
 /// What became of the ticket cannot be learnt. A request that may be repeated gets another one.
 void request_flow::replace_ticket() {
     if (std::exchange(counted_at_guard_, false)) {
-        parts_.picker.finished(guard_);
+        parts_.picker.record_finished(guard_);
     }
     if (caller_gone_) {
         end();
         return;
     }
     const bool allowed =
-        may_run_again() && tries_ < most_tries && parts_.retries.take_retry(monotonic_now());
+        may_run_again() && tries_ < most_tries && parts_.retries.try_acquire_retry(monotonic_now());
     if (!allowed) {
         fail_unknown("target_lost", "The target was lost sight of; the request may have run.");
         return;
@@ -492,7 +492,7 @@
         return;
     }
     ++step_;
-    parts_.picker.failed(monotonic_now(), guard);
+    parts_.picker.record_failure(monotonic_now(), guard);
     replace_ticket();
 }
 
@@ -512,7 +512,7 @@
 }
 
 void request_flow::on_end(incarnation_id guard, const wire::AnswerEnd& end_message) {
-    parts_.picker.reported(guard, decode_load(end_message.load()));
+    parts_.picker.update_load(guard, decode_load(end_message.load()));
     const bool concerned =
         phase_ == flow_phase::accepted && attempt_id{end_message.attempt()} == attempt_;
     if (!concerned) {
@@ -520,7 +520,7 @@
     }
     ++step_;
     if (std::exchange(counted_at_guard_, false)) {
-        parts_.picker.finished(guard);
+        parts_.picker.record_finished(guard);
     }
     const bool complete = end_message.whole() && end_message.chunks() == next_chunk_;
     if (!complete) {
@@ -528,7 +528,7 @@
         replace_ticket();
         return;
     }
-    parts_.picker.succeeded(guard);
+    parts_.picker.record_success(guard);
     parts_.events.add(timeline_kind::request_answered, name_, attempt_, ticket_.id,
                       std::to_string(end_message.tokens()) + " tokens");
     finish_whole();
@@ -582,7 +582,7 @@
         parts_.bus.send(guard_endpoint_, message);
         if (started_) {
             if (std::exchange(counted_at_guard_, false)) {
-                parts_.picker.finished(guard_);
+                parts_.picker.record_finished(guard_);
             }
             end();
         }
@@ -636,7 +636,7 @@
         return;
     }
     if (std::exchange(counted_at_guard_, false)) {
-        parts_.picker.finished(guard_);
+        parts_.picker.record_finished(guard_);
     }
     phase_ = flow_phase::ended;
     ++step_;
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -61,7 +61,7 @@
     if (answer_refused_) {
         return;
     }
-    history_.note_may_have_run();
+    history_.record_possible_run();
     rollout_.note_reached();
     charge_.prompt_read(now);
     streaming_ = is_stream(admitted_.route.kind) && head.status == status_ok;
@@ -121,7 +121,7 @@
         note_life();
     }
     context_.pauses.observe(gap);
-    const microseconds bound = admitted_.route.longest_pause;
+    const microseconds bound = admitted_.route.max_event_gap;
     if (bound > microseconds(0) && gap > bound) {
         context_.counters.counter("gateway_late_pauses_total") += 1;
         trace_.add(now, "stream_paused",
@@ -184,7 +184,7 @@
 }
 
 void forwarded_request::answer_refused() {
-    history_.note_refused();
+    history_.record_refusal();
     if (try_again()) {
         return;
     }
@@ -237,7 +237,7 @@
     }
     trace_.add(monotonic_now(), "attempt_failed",
                {{"target", target_},
-                {"attempt", std::to_string(history_.number())},
+                {"attempt", std::to_string(history_.attempt_number())},
                 {"failure", std::string(name_of(failure))},
                 {"fingerprint", suspicion_.fingerprint().to_hex()},
                 {"held", std::string(name_of(suspicion_.held()))},
@@ -247,17 +247,17 @@
         attempt_unsent();
         return;
     }
-    history_.note_may_have_run();
+    history_.record_possible_run();
     attempt_broken();
 }
 
 /// The target couldn't be connected to, so that another may be offered the request.
 void forwarded_request::attempt_unsent() {
-    history_.note_unsent();
+    history_.record_unsent();
     if (admitted_.engine && monotonic_now() - sent_at_ >= least_silence) {
         context_.target_silent(target_);
     }
-    const bool may_offer = history_.may_offer_again() && time_left() > microseconds(0);
+    const bool may_offer = history_.can_retry_unsent() && time_left() > microseconds(0);
     if (may_offer && !context_.isolated()) {
         context_.retries.followed_unsent(admitted_.service);
         dispatch();
@@ -298,7 +298,7 @@
     suspicion_.left(monotonic_now());
     end_attempt(run_end::left, rollout_gate::answer::silent);
     if (sent) {
-        history_.note_may_have_run();
+        history_.record_possible_run();
         assume_unseen();
     }
     fail(status_bad_gateway, "request_quarantined");
@@ -308,9 +308,9 @@
 /// allow it, of which this takes one.
 bool forwarded_request::take_retry() {
     const bool can_go_on = !to_caller_.begun() || !events_.last_id().empty();
-    const bool may_try =
-        can_go_on && suspicion_.held() == suspicion::none && time_left() > microseconds(0) &&
-        history_.may_send_again(admitted_.route.kind, admitted_.route.most_attempts);
+    const bool may_try = can_go_on && suspicion_.held() == suspicion::none &&
+                         time_left() > microseconds(0) &&
+                         history_.can_resend(admitted_.route.kind, admitted_.route.max_attempts);
     if (!may_try) {
         return false;
     }
@@ -344,7 +344,7 @@
         refuse(status_unavailable, "deadline_before_sending", until_targets);
         return;
     }
-    history_.note_may_have_run();
+    history_.record_possible_run();
     if (sent) {
         assume_unseen();
     }
@@ -436,7 +436,7 @@
 
 /// Counts an answer, or the first event of a stream, that comes later than its route's aim.
 void forwarded_request::note_first_answer() const {
-    const microseconds aim = admitted_.route.first_answer_aim;
+    const microseconds aim = admitted_.route.first_response_objective;
     if (aim > microseconds(0) && monotonic_now() - exchange_->received() > aim) {
         count_by_region("gateway_late_by_region_total");
     }
@@ -473,7 +473,7 @@
                 {"target", target_},
                 {"target_region", std::string(context_.targets.region_of(target_))},
                 {"allowed_regions", describe(admitted_.regions)},
-                {"attempts", std::to_string(history_.number())},
+                {"attempts", std::to_string(history_.attempt_number())},
                 {"tokens", std::to_string(charge_.spent())},
                 {"prompt", std::to_string(charge_.prompt_spent())},
                 {"longest_pause_ms", millis_text(stream_.longest_pause())},
--- a/src/roles/gateway/forwarded_choice.cpp
+++ b/src/roles/gateway/forwarded_choice.cpp
@@ -20,17 +20,17 @@
 
 void forwarded_request::dispatch() {
     admitted_.regions =
-        regions_now(context_.configuration, admitted_, request_.host, request_.path);
+        current_allowed_regions(context_.configuration, admitted_, request_.host, request_.path);
     if (admitted_.engine && request_.prompt.prompt > 0 && !engine_request_) {
         engine_request_ = {request_.prompt,
                            *admitted_.engine,
-                           admitted_.route.first_answer_aim,
-                           admitted_.route.longest_pause,
+                           admitted_.route.first_response_objective,
+                           admitted_.route.max_event_gap,
                            {}};
     }
     const bool suspected = suspicion_.held() != suspicion::none;
     const auto versions =
-        rollout_.choose_versions(monotonic_now(), history_.number() + 1, suspected);
+        rollout_.choose_versions(monotonic_now(), history_.attempt_number() + 1, suspected);
     if (versions) {
         choose_target(*versions);
     } else {
@@ -55,7 +55,7 @@
     const candidate_constraints limits{admitted_.regions, versions};
     if (!engine_request_) {
         target_chosen(context_.targets.pick(monotonic_now(), admitted_.service, left_out(),
-                                            admitted_.route.first_answer_aim,
+                                            admitted_.route.first_response_objective,
                                             may_repeat(admitted_.route.kind), limits),
                       {});
         return;
@@ -80,24 +80,24 @@
 std::vector<std::string> forwarded_request::left_out() {
     std::vector<std::string> all = context_.targets.targets_without_permit(
         monotonic_now(), admitted_.service, wish_for_turn());
-    all.insert(all.end(), history_.tried().begin(), history_.tried().end());
+    all.insert(all.end(), history_.tried_targets().begin(), history_.tried_targets().end());
     return all;
 }
 
 /// The more urgent a request is, the further away a turn it may take. That alone isn't enough: who
 /// comes more often finds most turns, so that others leave one where more urgent requests come.
 microseconds forwarded_request::longest_turn_wait() const {
-    return bearable_turn_wait() / (1 + admitted_.urgency);
+    return bearable_turn_wait() / (1 + admitted_.priority);
 }
 
 microseconds forwarded_request::bearable_turn_wait() const {
-    const microseconds aim = admitted_.route.first_answer_aim;
+    const microseconds aim = admitted_.route.first_response_objective;
     return aim > microseconds(0) ? aim : usual_turn_wait;
 }
 
 permit_request forwarded_request::wish_for_turn() const {
     const bool leaves_one =
-        context_.urgencies.has_more_urgent(monotonic_now(), admitted_.service, admitted_.urgency);
+        context_.urgencies.has_more_urgent(monotonic_now(), admitted_.service, admitted_.priority);
     return {patience_, leaves_one ? bearable_turn_wait() : microseconds(0)};
 }
 
@@ -145,7 +145,7 @@
 /// The target may have been lost, emptied or forbidden meanwhile; then another is looked for.
 void forwarded_request::turn_came() {
     admitted_.regions =
-        regions_now(context_.configuration, admitted_, request_.host, request_.path);
+        current_allowed_regions(context_.configuration, admitted_, request_.host, request_.path);
     if (!context_.targets.is_usable(turn_->target, admitted_.service, {admitted_.regions, {}})) {
         drop_turn();
         dispatch();
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -66,7 +66,7 @@
         admitted_ = std::move(*admitted);
         suspicion_.belongs_to({exchange_->head().method, request_.host, exchange_->head().target,
                                admitted_.account, exchange_->body()});
-        context_.urgencies.note(exchange_->received(), admitted_.service, admitted_.urgency);
+        context_.urgencies.record(exchange_->received(), admitted_.service, admitted_.priority);
         const bool has_session = !request_.prompt.parts.empty();
         rollout_.belongs_to(admitted_.service, admitted_.route,
                             has_session ? session_of(request_.prompt) : spread_hash(request_.id));
@@ -123,7 +123,7 @@
     const microseconds needed =
         std::min<microseconds>(admitted_.route.timeout,
                                admitted_.engine ? engine_reading_time + answer : plain_answer_time);
-    if (context_.settings.drain.may_take(since, needed)) {
+    if (context_.settings.drain.may_accept(since, needed)) {
         return true;
     }
     refuse(status_unavailable, "stopping", until_targets);
@@ -174,7 +174,7 @@
 }
 
 void forwarded_request::take_tokens() {
-    if (!admitted_.counted) {
+    if (!admitted_.is_metered) {
         dispatch();
         return;
     }
@@ -258,19 +258,19 @@
     patience_ = microseconds(0);
     target_ = target.id;
     life_ = life_of(target);
-    history_.begin(target.id);
+    history_.begin_attempt(target.id);
     answer_ = message_head{};
     answer_body_.clear();
     answer_refused_ = false;
     streaming_ = false;
     stream_.begin_attempt();
     sent_at_ = now;
-    if (history_.number() == 1) {
+    if (history_.attempt_number() == 1) {
         context_.retries.first_try(now, admitted_.service);
     }
     trace_.add(now, "request_sent",
                {{"target", target_},
-                {"attempt", std::to_string(history_.number())},
+                {"attempt", std::to_string(history_.attempt_number())},
                 {"load", context_.targets.describe(now, target_)},
                 {"unread_prompt", std::to_string(choice.uncached_tokens)},
                 {"copy_from", choice.copy_from == nullptr ? "" : choice.copy_from->id},
@@ -287,20 +287,22 @@
     const upstream_request sent =
         request_to_target(*exchange_, context_.dialect, request_, admitted_, target, copy_from,
                           events_.last_id(), time_left());
-    call_ = context_.pool_of(target).send(sent, hooks_for(history_.number()));
+    call_ = context_.pool_of(target).send(sent, hooks_for(history_.attempt_number()));
     if (!engine_request_) {
         watch_silence();
     }
 }
 
 void forwarded_request::watch_silence() {
-    const microseconds longest = context_.plain_answers.longest_usual(admitted_.service);
-    context_.loop.call_after(longest, [self = weak_from_this(), attempt = history_.number()] {
-        const auto alive = self.lock();
-        if (alive && !alive->ended_ && alive->call_ && alive->history_.number() == attempt) {
-            alive->target_silent();
-        }
-    });
+    const microseconds longest = context_.plain_answers.silence_threshold(admitted_.service);
+    context_.loop.call_after(longest,
+                             [self = weak_from_this(), attempt = history_.attempt_number()] {
+                                 const auto alive = self.lock();
+                                 if (alive && !alive->ended_ && alive->call_ &&
+                                     alive->history_.attempt_number() == attempt) {
+                                     alive->target_silent();
+                                 }
+                             });
 }
 
 /// A target that hangs looks well to everybody else: it takes connections and says that it is
@@ -324,7 +326,7 @@
         return;
     }
     if (take_retry()) {
-        history_.note_may_have_run();
+        history_.record_possible_run();
         suspicion_.left(now);
         end_attempt(run_end::left, rollout_gate::answer::badly);
         dispatch();
@@ -335,7 +337,7 @@
     const auto self = weak_from_this();
     const auto when_current = [self, attempt](auto action) {
         const auto alive = self.lock();
-        if (alive && !alive->ended_ && alive->history_.number() == attempt) {
+        if (alive && !alive->ended_ && alive->history_.attempt_number() == attempt) {
             action(*alive);
         }
     };
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -67,14 +67,14 @@
 /// Where engines are, if that makes a difference.
 engine_keepers::region_hook engine_regions(const gateway_settings& settings,
                                            const target_pool& targets) {
-    if (!settings.regions.has_several()) {
+    if (!settings.regions.has_multiple_regions()) {
         return {};
     }
     return [&targets](std::string_view engine) { return targets.region_of(engine); };
 }
 
-link_watch_settings link_settings(const gateway_settings& settings) {
-    link_watch_settings link;
+link_congestion_settings link_settings(const gateway_settings& settings) {
+    link_congestion_settings link;
     link.bytes_per_second = settings.link_bytes_per_second;
     return link;
 }
@@ -233,7 +233,7 @@
                 log_event(log_level::information, "member_left", {{"host", host}});
             },
             reachable_hook(dialect_.member_log)},
-        settings_.regions.has_several());
+        settings_.regions.has_multiple_regions());
     tokens_ = std::make_unique<token_exchange>(
         loop_, *bus_, homes_, *grants_, *waiters_, metrics_, exchange_settings(settings_),
         token_exchange::hooks{
@@ -300,7 +300,7 @@
         [this] { return ledger_->live(); },
         [this] { return grant_log_answers_; },
         [this] { return describe_ledger(); },
-        [this] { reach_.heard(monotonic_now()); },
+        [this] { reach_.record_contact(monotonic_now()); },
         [this](const std::string& target) { peer_silent(target); },
         [this] { return isolated(); },
         [this](const gateway_target& target) -> upstream_pool& { return pool_of(target); },
@@ -349,7 +349,7 @@
 
 ingress_limits gateway::limits_now() const {
     const gateway_limits& limits = configuration_.current().limits;
-    return {limits.most_header_bytes, limits.most_body_bytes, limits.head_timeout,
+    return {limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout,
             limits.idle_timeout};
 }
 
@@ -359,26 +359,26 @@
 /// of 31 sent their callers away at once.
 void gateway::look_at_link(instant now) {
     const traffic_counts& traffic = loop_.traffic();
-    const bool shed_before = link_.sheds();
+    const bool shed_before = link_.is_shedding();
     const bool full_before = link_.is_full();
     link_.observe(now, traffic.received, traffic.sent);
     if (link_.is_full() != full_before) {
         log_event(log_level::warning, link_.is_full() ? "link_full" : "link_has_room",
                   {{"received_share", std::to_string(link_.received_share())},
-                   {"send_queue_ms", millis_text(link_.send_queue())},
+                   {"send_queue_ms", millis_text(link_.send_queue_delay())},
                    {"connections", std::to_string(ingress_->connections())}});
     }
-    if (link_.sheds() == shed_before) {
+    if (link_.is_shedding() == shed_before) {
         return;
     }
-    ingress_->shed(link_.sheds());
-    log_event(log_level::warning, link_.sheds() ? "callers_sent_away" : "callers_taken_again",
+    ingress_->shed(link_.is_shedding());
+    log_event(log_level::warning, link_.is_shedding() ? "callers_sent_away" : "callers_taken_again",
               {{"received_share", std::to_string(link_.received_share())},
-               {"send_queue_ms", millis_text(link_.send_queue())}});
+               {"send_queue_ms", millis_text(link_.send_queue_delay())}});
 }
 
 bool gateway::ready() {
-    return !stopping_ && !link_.sheds() && configuration_.known() && ledger_->live() &&
+    return !stopping_ && !link_.is_shedding() && configuration_.is_loaded() && ledger_->live() &&
            target_follower_->live() && suspects_->ready() && !isolated();
 }
 
@@ -393,7 +393,7 @@
         metrics_.gauge("gateway_refused_share") = lag_.overload().refused_share();
         metrics_.gauge("gateway_connections") = static_cast<double>(ingress_->connections());
         metrics_.gauge("gateway_link_received_share") = link_.received_share();
-        metrics_.gauge("gateway_link_send_queue_seconds") = as_seconds(link_.send_queue());
+        metrics_.gauge("gateway_link_send_queue_seconds") = as_seconds(link_.send_queue_delay());
         exchange->reply(status_ok, {{"Content-Type", "text/plain; version=0.0.4"}},
                         metrics_.to_prometheus_text());
         return;
@@ -449,7 +449,7 @@
     }
     apply_configuration();
     const gateway_configuration& current = configuration_.current();
-    const std::vector<std::string> unreadable = unreadable_limits(current);
+    const std::vector<std::string> unreadable = unreadable_region_limits(current);
     metrics_.counter("gateway_limits_unreadable_total") += unreadable.size();
     for (const std::string& place :
          std::span(unreadable).first(std::min(most_told, unreadable.size()))) {
@@ -512,8 +512,8 @@
         targets_.set_warmup(monotonic_now(), service.name, service.warmup);
     }
     for (const gateway_account& account : configuration_.current().accounts) {
-        if (account.prepaid) {
-            grants_->set_limit(account.name, *account.prepaid);
+        if (account.prepaid_tokens) {
+            grants_->set_limit(account.name, *account.prepaid_tokens);
         }
     }
     ledger_->append_if_due();
@@ -536,23 +536,23 @@
 }
 
 void gateway::peer_silent(const std::string& peer) {
-    reach_.silent(peer);
+    reach_.record_unresponsive(peer);
     look_whether_isolated();
 }
 
 bool gateway::isolated() {
     // A reply that saturates the link delays all others, so a partial reply also shows that the
     // service can be reached.
-    reach_.heard(std::max({ledger_->last_answer(), target_follower_->last_answer(),
-                           configuration_follower_->last_answer(),
-                           arrivals_.last_piece().value_or(instant{})}));
-    return reach_.isolated(monotonic_now());
+    reach_.record_contact(std::max({ledger_->last_answer(), target_follower_->last_answer(),
+                                    configuration_follower_->last_answer(),
+                                    arrivals_.last_piece().value_or(instant{})}));
+    return reach_.is_isolated(monotonic_now());
 }
 
 /// An entry that reaches nobody ends what waits there for others, so that its callers can go on
 /// elsewhere, and leaves the platform's balancer by its readiness.
 void gateway::look_whether_isolated() {
-    const std::size_t silent = reach_.silent_peers();
+    const std::size_t silent = reach_.unresponsive_peers();
     const bool isolated_now = isolated();
     if (isolated_now) {
         tokens_->refuse_waiting();
@@ -560,27 +560,29 @@
     if (isolated_now == std::exchange(was_isolated_, isolated_now)) {
         return;
     }
-    const microseconds silence = monotonic_now() - reach_.last_heard();
+    const microseconds silence = monotonic_now() - reach_.last_contact();
     log_event(log_level::warning, isolated_now ? "isolated" : "reaches_others",
               {{"silent_peers", std::to_string(silent)}, {"last_heard_ms", millis_text(silence)}});
 }
 
 void gateway::look_at_regions() {
-    for (const region_news& news : far_regions_.look(monotonic_now(), homes_.answers())) {
-        if (news.cut_off) {
+    for (const region_status_change& news :
+         far_regions_.update(monotonic_now(), homes_.answers())) {
+        if (news.unreachable) {
             metrics_.counter("gateway_regions_cut_off_total") += 1;
         }
-        log_event(log_level::warning, news.cut_off ? "region_cut_off" : "region_back",
+        log_event(log_level::warning, news.unreachable ? "region_cut_off" : "region_back",
                   {{"region", news.region},
-                   {"silent", std::to_string(news.silent)},
+                   {"silent", std::to_string(news.unresponsive)},
                    {"members", std::to_string(news.members)},
-                   {"since_ms", millis_text(news.since)}});
+                   {"since_ms", millis_text(news.duration)}});
     }
-    metrics_.gauge("gateway_regions_cut_off") = static_cast<double>(far_regions_.cut_off());
+    metrics_.gauge("gateway_regions_cut_off") =
+        static_cast<double>(far_regions_.unreachable_count());
 }
 
 const engine_shape* gateway::engine_of(const std::string& service) const {
-    const gateway_service* known = configuration_.service(service);
+    const gateway_service* known = configuration_.find_service(service);
     return known == nullptr || !known->engine ? nullptr : &*known->engine;
 }
 
@@ -592,11 +594,11 @@
     std::unique_ptr<upstream_pool>& pool = pools_[target.id];
     if (!pool) {
         const result<http_address> address = http_address::parse(target.address);
-        const gateway_service* service = configuration_.service(target.service);
+        const gateway_service* service = configuration_.find_service(target.service);
         upstream_pool_settings settings;
         if (service != nullptr) {
             settings.most_connections =
-                std::max<std::size_t>(4, service->most_connections / sharers);
+                std::max<std::size_t>(4, service->max_connections / sharers);
         }
         pool = std::make_unique<upstream_pool>(loop_, address ? address.value() : http_address{},
                                                settings);
@@ -677,15 +679,15 @@
     const instant now = monotonic_now();
     const microseconds since = now - stop_began_;
     const std::size_t requests = context_->requests.size();
-    const bool served = settings_.drain.done(since, requests, now - context_->last_request);
-    if (served || !settings_.drain.listens(since)) {
+    const bool served = settings_.drain.can_exit(since, requests, now - context_->last_request);
+    if (served || !settings_.drain.accepts_connections(since)) {
         ingress_->stop_listening();
     }
     if (served) {
         grants_->set_draining(true);
         ledger_->append_if_due();
     }
-    const bool overdue = since + settings_.drain.margin > settings_.drain.longest;
+    const bool overdue = since + settings_.drain.completion_margin > settings_.drain.max_duration;
     if (overdue || (served && requests == 0 && grants_->all_returned())) {
         loop_.stop();
         return;
--- a/src/roles/gateway/gateway.hpp
+++ b/src/roles/gateway/gateway.hpp
@@ -98,17 +98,17 @@
     std::unique_ptr<token_waiters> waiters_;
     std::unique_ptr<member_directory> members_;
     token_homes homes_;
-    region_watch far_regions_;
+    region_outage_detector far_regions_;
     std::unique_ptr<token_exchange> tokens_;
 
-    configuration_view configuration_;
+    active_configuration configuration_;
     target_pool targets_;
     target_list list_;
-    answer_times plain_answers_;
-    urgency_watch urgencies_;
+    response_time_tracker plain_answers_;
+    priority_tracker urgencies_;
     engine_keepers keepers_;
     lag_watch lag_;
-    link_watch link_;
+    link_congestion_detector link_;
     std::unique_ptr<placement_desk> desk_;
     std::unique_ptr<placement_exchange> placements_;
     gateway_rollouts rollouts_;
@@ -116,7 +116,7 @@
     std::unique_ptr<suspect_exchange> suspects_;
     target_ends ends_;
     std::unique_ptr<signal_exchange> signals_;
-    isolation_watch reach_;
+    isolation_detector reach_;
     bool was_isolated_ = false;
     bool grant_log_answers_ = true;
     std::map<std::string, std::unique_ptr<upstream_pool>> pools_;
--- a/src/roles/gateway/gateway_context.hpp
+++ b/src/roles/gateway/gateway_context.hpp
@@ -37,11 +37,11 @@
     event_loop& loop;
     const gateway_settings& settings;
     const gateway_dialect& dialect;
-    configuration_view& configuration;
+    active_configuration& configuration;
     target_pool& targets;
-    answer_times& plain_answers;
-    const overload_watch& overload;
-    const link_watch& link;
+    response_time_tracker& plain_answers;
+    const overload_detector& overload;
+    const link_congestion_detector& link;
     grant_holder& grants;
     token_exchange& tokens;
     placement_exchange& placements;
@@ -50,7 +50,7 @@
     suspect_exchange& suspects;
     target_ends& ends;
     signal_exchange& signals;
-    urgency_watch& urgencies;
+    priority_tracker& urgencies;
     random_source& random;
     metrics& counters;
     event_log& events;
--- a/src/roles/gateway/gateway_settings.cpp
+++ b/src/roles/gateway/gateway_settings.cpp
@@ -64,10 +64,10 @@
         static_cast<std::uint16_t>(reader.integer_or("relay_port", 0, 0, highest_port));
     settings.metrics_port =
         static_cast<std::uint16_t>(reader.integer_or("metrics_port", 0, 0, highest_port));
-    settings.drain.longest =
-        read_ms(reader, "longest_drain_ms", settings.drain.longest, longest_drain_ms);
-    settings.drain.grace =
-        read_ms(reader, "listen_after_stop_ms", settings.drain.grace, longest_drain_ms);
+    settings.drain.max_duration =
+        read_ms(reader, "longest_drain_ms", settings.drain.max_duration, longest_drain_ms);
+    settings.drain.grace_period =
+        read_ms(reader, "listen_after_stop_ms", settings.drain.grace_period, longest_drain_ms);
     settings.capacity = reader.number_or("capacity", settings.capacity, 0.0, most_cores);
     constexpr double bytes_a_megabit = 1e6 / 8.0;
     settings.link_bytes_per_second =
--- a/src/roles/gateway/lag_watch.hpp
+++ b/src/roles/gateway/lag_watch.hpp
@@ -27,7 +27,7 @@
 
     void start();
 
-    const overload_watch& overload() const { return overload_; }
+    const overload_detector& overload() const { return overload_; }
 
 private:
     void look_later();
@@ -36,7 +36,7 @@
     event_loop& loop_;
     std::function<std::size_t()> requests_;
     std::function<void(instant)> looked_;
-    overload_watch overload_;
+    overload_detector overload_;
     bool was_overloaded_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/roles/gateway/relay_choice.cpp
+++ b/src/roles/gateway/relay_choice.cpp
@@ -15,14 +15,14 @@
 }  // namespace
 
 std::vector<std::string> relays_to_ask(const gateway_settings& settings,
-                                       const configuration_view& configuration,
+                                       const active_configuration& configuration,
                                        const std::vector<gateway_target>& listed) {
     if (settings.relay_port == 0) {
         return {};
     }
     std::vector<gateway_target> beside;
     for (const gateway_target& target : listed) {
-        const gateway_service* service = configuration.service(target.service);
+        const gateway_service* service = configuration.find_service(target.service);
         if (service != nullptr && service->engine) {
             beside.push_back(target);
         }
@@ -30,7 +30,7 @@
     const auto rank = [&settings](const gateway_target& target) {
         const bool elsewhere = target.failure_domain != settings.failure_domain;
         const bool is_far =
-            !settings.regions.are_near(target.failure_domain, settings.failure_domain);
+            !settings.regions.in_same_region(target.failure_domain, settings.failure_domain);
         return std::tuple(is_far, elsewhere, spread_hash(target.id, spread_hash(settings.host)));
     };
     std::sort(beside.begin(), beside.end(),
--- a/src/roles/gateway/relay_choice.hpp
+++ b/src/roles/gateway/relay_choice.hpp
@@ -13,7 +13,7 @@
 /// Each gateway begins with another one, those of its own failure domain first, then those of its
 /// own region.
 std::vector<std::string> relays_to_ask(const gateway_settings& settings,
-                                       const configuration_view& configuration,
+                                       const active_configuration& configuration,
                                        const std::vector<gateway_target>& listed);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/request_rollout.cpp
+++ b/src/roles/gateway/request_rollout.cpp
@@ -11,7 +11,7 @@
     request_.session = session;
     request_.lasts = is_stream(route.kind);
     may_repeat_ = may_repeat(route.kind);
-    most_attempts_ = route.most_attempts;
+    most_attempts_ = route.max_attempts;
 }
 
 std::optional<version_constraint> request_rollout::choose_versions(instant now, unsigned attempt,
--- a/src/roles/gateway/service_retries.cpp
+++ b/src/roles/gateway/service_retries.cpp
@@ -38,12 +38,12 @@
 void service_retries::first_try(instant now, const std::string& service) {
     service_account& account = account_of(service);
     account.first_tries += 1;
-    account.budget.first_try(now);
+    account.budget.record_first_try(now);
 }
 
 bool service_retries::take(instant now, const std::string& service) {
     service_account& account = account_of(service);
-    const bool allowed = account.budget.take_retry(now);
+    const bool allowed = account.budget.try_acquire_retry(now);
     (allowed ? account.taken : account.denied) += 1;
     return allowed;
 }
@@ -53,13 +53,13 @@
 }
 
 double service_retries::allowed(instant now, const std::string& service) {
-    return account_of(service).budget.allowed(now);
+    return account_of(service).budget.available_retries(now);
 }
 
 void service_retries::tick(instant now) {
     const bool due = now - told_at_ >= told_every;
     for (auto& [service, account] : accounts_) {
-        account.allowed = account.budget.allowed(now);
+        account.allowed = account.budget.available_retries(now);
         account.first_tries_in_window = account.budget.first_tries_in_window(now);
         account.taken_in_window = account.budget.retries_in_window(now);
         if (due) {
--- a/src/roles/gateway/target_request.cpp
+++ b/src/roles/gateway/target_request.cpp
@@ -29,7 +29,7 @@
         sent.headers.push_back({dialect.copy_from, std::string(copy_from)});
     }
     if (admitted.engine) {
-        sent.headers.push_back({dialect.urgency, std::to_string(admitted.urgency)});
+        sent.headers.push_back({dialect.urgency, std::to_string(admitted.priority)});
     }
     const std::string_view last = last_event.empty() ? request.last_event : last_event;
     if (!last.empty()) {
--- a/src/roles/guard/charge_reporter.cpp
+++ b/src/roles/guard/charge_reporter.cpp
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-charge_reporter::charge_reporter(message_bus& bus, const control_state& control, charge_book& book,
-                                 random_source& random, const incarnation_id& own,
-                                 std::string failure_domain)
+charge_reporter::charge_reporter(message_bus& bus, const control_state& control,
+                                 charge_tracker& book, random_source& random,
+                                 const incarnation_id& own, std::string failure_domain)
     : bus_(bus),
       control_(control),
       book_(book),
@@ -32,7 +32,7 @@
 
 void charge_reporter::report(instant now) {
     std::map<std::string, wire::Envelope> by_home;
-    for (const charge& item : book_.unacknowledged(now, resend_after, charges_a_report)) {
+    for (const charge& item : book_.take_due_reports(now, resend_after, charges_a_report)) {
         wire::ChargeReport& report = *by_home[home_of(item)].mutable_charge_report();
         encode_charge(item, incarnation_id{}, *report.add_charges());
     }
@@ -59,7 +59,7 @@
         wire::MarkReport& report = *message.mutable_mark_report();
         report.set_marker(raw(own_));
         report.set_fenced(raw(fenced));
-        for (const charge& item : book_.mark_for(fenced)) {
+        for (const charge& item : book_.charges_of_holder(fenced)) {
             encode_charge(item, incarnation_id{}, *report.add_charges());
         }
         bus_.send(endpoint, message);
--- a/src/roles/guard/charge_reporter.hpp
+++ b/src/roles/guard/charge_reporter.hpp
@@ -17,7 +17,7 @@
 class charge_reporter {
 public:
     /// All must outlive the reporter; `own` follows the guard's incarnation.
-    charge_reporter(message_bus& bus, const control_state& control, charge_book& book,
+    charge_reporter(message_bus& bus, const control_state& control, charge_tracker& book,
                     random_source& random, const incarnation_id& own, std::string failure_domain);
 
     /// Remembers where a ticket's holder takes its charge.
@@ -38,7 +38,7 @@
 
     message_bus& bus_;
     const control_state& control_;
-    charge_book& book_;
+    charge_tracker& book_;
     random_source& random_;
     const incarnation_id& own_;
     std::string failure_domain_;
--- a/src/roles/guard/guard.cpp
+++ b/src/roles/guard/guard.cpp
@@ -55,7 +55,7 @@
     }
     server_ = std::move(server.value());
 
-    limiter_ = limiter_named(settings_.limiter, settings_.limits)();
+    limiter_ = make_limiter_factory(settings_.limiter, settings_.limits)();
     control_replica_hooks hooks;
     hooks.applied = [this](const control_record& record, const control_effect& effect, log_offset) {
         on_control_applied(record, effect);
@@ -64,7 +64,7 @@
     hooks.restored = [] {};
     control_ = std::make_unique<control_replica>(loop_, *log_, settings_.process.snapshot_records,
                                                  random_, metrics_, std::move(hooks));
-    book_ = std::make_unique<charge_book>(own_, control_->state());
+    book_ = std::make_unique<charge_tracker>(own_, control_->state());
     charges_ = std::make_unique<charge_reporter>(*bus_, control_->state(), *book_, random_, own_,
                                                  settings_.process.failure_domain);
     control_->start();
@@ -78,7 +78,7 @@
 
 void guard::register_self() {
     own_ = random_.next_id<incarnation_id>();
-    book_->set_own(own_);
+    book_->set_incarnation(own_);
     control_->set_writer(own_);
     registration self;
     self.role = member_role::guard;
@@ -126,7 +126,7 @@
     }
     const service* configured = control_->state().config().find_service(settings_.service);
     if (configured != nullptr && configured->concurrency > 0) {
-        limiter_->set_most(configured->concurrency);
+        limiter_->set_max_limit(configured->concurrency);
     }
 }
 
@@ -135,7 +135,7 @@
     control_->tick(now);
     answers_.expire(now);
     charges_->send_marks();
-    for (const queued_request& item : queue_.take_hopeless(now, microseconds(0))) {
+    for (const queued_request& item : queue_.remove_unmeetable(now, microseconds(0))) {
         refuse_queued(item, refusal_reason::deadline);
     }
     retry_early();
@@ -145,10 +145,10 @@
         log_event(log_level::information, "host_drained_by_operator", {});
     }
     leaving_ = drained_by_operator || drained_ != nullptr;
-    metrics_.gauge("guard_running") = static_cast<double>(book_->running());
+    metrics_.gauge("guard_running") = static_cast<double>(book_->running_count());
     metrics_.gauge("guard_queued") = static_cast<double>(queue_.size());
     metrics_.gauge("guard_limit") = limiter_->limit();
-    metrics_.gauge("guard_unsettled_charges") = static_cast<double>(book_->unsettled());
+    metrics_.gauge("guard_unsettled_charges") = static_cast<double>(book_->unsettled_count());
     metrics_.gauge("guard_answer_buffer_bytes") = static_cast<double>(answers_.bytes());
     metrics_.gauge("guard_control_offset") = static_cast<double>(raw(control_->position()));
     finish_drain_if_idle();
@@ -192,7 +192,7 @@
     if (monotonic_now() < target_down_until_) {
         return refusal_reason::target_down;
     }
-    return book_->check(decode_ticket(dispatch.ticket()), control_->position());
+    return book_->check_ticket(decode_ticket(dispatch.ticket()), control_->position());
 }
 
 void guard::on_dispatch(const message_origin& origin, const wire::Dispatch& dispatch) {
@@ -237,8 +237,8 @@
     request.attempt = id;
     request.client_account = dispatch.client_account();
     request.priority = dispatch.priority();
-    request.bound = dispatch.ticket().bound();
-    request.arrived = now;
+    request.token_bound = dispatch.ticket().bound();
+    request.arrived_at = now;
     request.deadline = now + milliseconds(dispatch.deadline_ms());
 
     attempt_state state;
@@ -247,15 +247,15 @@
     state.listeners.push_back({origin, dispatch.request(), id});
     state.request_name = std::to_string(dispatch.request());
 
-    std::optional<queued_request> displaced;
-    const refusal_reason reason = queue_.push(request, displaced);
+    std::optional<queued_request> evicted;
+    const refusal_reason reason = queue_.push(request, evicted);
     if (reason != refusal_reason::none) {
         replies_->refuse({origin, dispatch.request(), id}, reason);
         return;
     }
     attempts_.emplace(id, std::move(state));
-    if (displaced) {
-        refuse_queued(*displaced, refusal_reason::queue_full);
+    if (evicted) {
+        refuse_queued(*evicted, refusal_reason::queue_full);
     }
     pump();
     const auto waiting = attempts_.find(id);
@@ -265,7 +265,7 @@
 }
 
 void guard::pump() {
-    while (queue_.size() > 0 && book_->running() < limiter_->limit()) {
+    while (queue_.size() > 0 && book_->running_count() < limiter_->limit()) {
         const instant now = monotonic_now();
         const auto next = queue_.pop(now);
         if (next->deadline <= now) {
@@ -279,7 +279,7 @@
 void guard::start_attempt(const queued_request& next) {
     attempt_state& state = attempts_.at(next.attempt);
     const refusal_reason reason =
-        active_ ? book_->start(state.used, control_->position()) : refusal_reason::fenced;
+        active_ ? book_->begin_charge(state.used, control_->position()) : refusal_reason::fenced;
     if (reason != refusal_reason::none) {
         refuse_queued(next, reason);
         return;
@@ -287,7 +287,8 @@
     state.started = true;
     charges_->expect(state.used);
     metrics_.counter("guard_started_total") += 1;
-    metrics_.quantiles("guard_queue_seconds").observe(as_seconds(monotonic_now() - next.arrived));
+    metrics_.quantiles("guard_queue_seconds")
+        .observe(as_seconds(monotonic_now() - next.arrived_at));
     timeline_.add(timeline_kind::attempt_started, state.request_name, next.attempt, state.used.id,
                   state.dispatch.client_account());
     if (state.dispatch.keep_answer()) {
@@ -344,9 +345,9 @@
 
     limiter_sample sample;
     sample.now = now;
-    sample.first_token = end.first_token;
-    sample.between_tokens = end.between_tokens;
-    sample.in_flight = static_cast<unsigned>(book_->running());
+    sample.time_to_first_token = end.first_token;
+    sample.inter_token_latency = end.between_tokens;
+    sample.in_flight = static_cast<unsigned>(book_->running_count());
     sample.failed = end.not_run || !end.whole;
     sample.reported_batch = target_load_.last().batch;
     sample.reported_queue = target_load_.last().queue;
@@ -360,9 +361,9 @@
         log_event(log_level::warning, "target_down", {{"target", settings_.target.to_text()}});
     }
     if (end.not_run) {
-        book_->cancel(state.used.id);
+        book_->cancel_charge(state.used.id);
         charges_->forget(state.used.id);
-        answers_.drop(state.used.key);
+        answers_.discard(state.used.key);
         metrics_.counter("guard_not_run_total") += 1;
         for (const answer_listener& to : state.listeners) {
             replies_->refuse(to, refusal_reason::target_down);
@@ -370,13 +371,13 @@
         pump();
         return;
     }
-    const tokens excess = book_->end(state.used.id, end.cost);
+    const tokens excess = book_->finish_charge(state.used.id, end.cost);
     if (excess > 0) {
         metrics_.counter("guard_tokens_beyond_bound_total") += static_cast<std::uint64_t>(excess);
         log_event(log_level::error, "target_exceeded_bound",
                   {{"target", settings_.target.to_text()}, {"tokens", std::to_string(excess)}});
     }
-    answers_.end(state.used.key, now, end.whole, end.cost);
+    answers_.finish(state.used.key, now, end.whole, end.cost);
     metrics_.counter(end.whole ? "guard_ended_total" : "guard_cut_total") += 1;
     metrics_.counter("guard_tokens_total") +=
         static_cast<std::uint64_t>(std::max<tokens>(end.cost, 0));
@@ -393,7 +394,7 @@
 void guard::on_join(const message_origin& origin, const wire::Join& join) {
     const digest key{join.key_high(), join.key_low()};
     const answer_listener to{origin, join.request(), attempt_id{}};
-    const kept_answer* kept = answers_.find(key);
+    const buffered_response* kept = answers_.find(key);
     if (kept == nullptr) {
         replies_->refuse(to, refusal_reason::no_answer_kept);
         return;
@@ -407,8 +408,8 @@
         }
         ++index;
     }
-    if (kept->ended) {
-        replies_->send_end(to, index, kept->whole, kept->cost);
+    if (kept->finished) {
+        replies_->send_end(to, index, kept->complete, kept->cost);
         return;
     }
     const auto running = running_keys_.find(key);
@@ -462,7 +463,7 @@
 
 void guard::on_charge_ack(const wire::ChargeAck& ack) {
     for (const std::uint64_t ticket : ack.tickets()) {
-        book_->acknowledge(ticket_id{ticket});
+        book_->acknowledge_charge(ticket_id{ticket});
         charges_->forget(ticket_id{ticket});
     }
     finish_drain_if_idle();
@@ -481,7 +482,7 @@
 wire::LoadReport guard::load() const {
     wire::LoadReport report;
     report.set_guard(raw(own_));
-    report.set_running(static_cast<std::uint32_t>(book_->running()));
+    report.set_running(static_cast<std::uint32_t>(book_->running_count()));
     report.set_queued(static_cast<std::uint32_t>(queue_.size()));
     report.set_limit(limiter_->limit());
     report.set_leaving(leaving_);
@@ -506,10 +507,10 @@
     leaving_ = true;
     drain_until_ = monotonic_now() + settings_.process.longest_drain;
     timeline_.add(timeline_kind::drain_started, "", {}, {}, "");
-    log_event(
-        log_level::information, "drain_started",
-        {{"running", std::to_string(book_->running())}, {"queued", std::to_string(queue_.size())}});
-    for (const queued_request& item : queue_.take_all()) {
+    log_event(log_level::information, "drain_started",
+              {{"running", std::to_string(book_->running_count())},
+               {"queued", std::to_string(queue_.size())}});
+    for (const queued_request& item : queue_.remove_all()) {
         refuse_queued(item, refusal_reason::leaving);
     }
     finish_drain_if_idle();
@@ -519,7 +520,7 @@
     if (drained_ == nullptr) {
         return;
     }
-    const bool settled = book_->running() == 0 && book_->unsettled() == 0;
+    const bool settled = book_->running_count() == 0 && book_->unsettled_count() == 0;
     if (settled && active_ && !closing_) {
         // The last record: it counts as this guard's mark for all later fences.
         closing_ = true;
@@ -533,8 +534,8 @@
     }
     log_event(log_level::information, "drain_ended",
               {{"closed", closed ? "yes" : "no"},
-               {"running", std::to_string(book_->running())},
-               {"unsettled", std::to_string(book_->unsettled())}});
+               {"running", std::to_string(book_->running_count())},
+               {"unsettled", std::to_string(book_->unsettled_count())}});
     const auto done = std::exchange(drained_, nullptr);
     done();
 }
--- a/src/roles/guard/guard.hpp
+++ b/src/roles/guard/guard.hpp
@@ -92,11 +92,11 @@
     std::unique_ptr<guard_replies> replies_;
     std::unique_ptr<http_server> server_;
     std::unique_ptr<control_replica> control_;
-    std::unique_ptr<charge_book> book_;
+    std::unique_ptr<charge_tracker> book_;
     std::unique_ptr<charge_reporter> charges_;
     std::unique_ptr<concurrency_limiter> limiter_;
     admission_queue queue_;
-    answer_buffer answers_;
+    response_buffer answers_;
     http_client target_;
     target_load_watch target_load_;
     incarnation_id own_{};
--- a/src/roles/guard/guard_settings.cpp
+++ b/src/roles/guard/guard_settings.cpp
@@ -24,27 +24,27 @@
     settings->operator_port =
         static_cast<std::uint16_t>(reader.integer_or("operator_port", 0, 0, most_port));
     settings->limiter = reader.text_or("limiter", settings->limiter);
-    if (!limiter_named(settings->limiter, {})) {
+    if (!make_limiter_factory(settings->limiter, {})) {
         problems.add("/limiter", settings->limiter, "static, aimd, gradient or token_pace");
     }
     limiter_settings& limits = settings->limits;
-    limits.least = static_cast<unsigned>(
-        reader.integer_or("least_concurrency", limits.least, 1, most_concurrency));
-    limits.most = static_cast<unsigned>(
-        reader.integer_or("most_concurrency", limits.most, 1, most_concurrency));
-    limits.initial = static_cast<unsigned>(
-        reader.integer_or("initial_concurrency", limits.initial, 1, most_concurrency));
-    if (limits.least > limits.most) {
-        problems.add("/least_concurrency", std::to_string(limits.least),
+    limits.min_limit = static_cast<unsigned>(
+        reader.integer_or("least_concurrency", limits.min_limit, 1, most_concurrency));
+    limits.max_limit = static_cast<unsigned>(
+        reader.integer_or("most_concurrency", limits.max_limit, 1, most_concurrency));
+    limits.initial_limit = static_cast<unsigned>(
+        reader.integer_or("initial_concurrency", limits.initial_limit, 1, most_concurrency));
+    if (limits.min_limit > limits.max_limit) {
+        problems.add("/least_concurrency", std::to_string(limits.min_limit),
                      "at most most_concurrency");
     }
-    settings->admission.most_queued =
+    settings->admission.max_queued =
         static_cast<std::size_t>(reader.integer_or("queue_length", 256, 0, most_queue));
-    settings->admission.most_wait =
+    settings->admission.max_wait =
         milliseconds(reader.integer_or("most_wait_ms", 500, 1, longest_keep_ms));
-    settings->answers.most_bytes = static_cast<std::size_t>(
+    settings->answers.max_bytes = static_cast<std::size_t>(
         reader.integer_or("answer_buffer_bytes", 32LL << 20, 0, most_buffer_bytes));
-    settings->answers.keep_ended_for =
+    settings->answers.retention =
         milliseconds(reader.integer_or("answer_keep_ms", 300'000, 0, longest_keep_ms));
     reader.finish();
     return settings;
--- a/src/roles/guard/guard_settings.hpp
+++ b/src/roles/guard/guard_settings.hpp
@@ -19,8 +19,8 @@
     std::uint16_t operator_port = 0;
     std::string limiter = "token_pace";
     limiter_settings limits;
-    admission_settings admission;
-    answer_buffer_settings answers;
+    admission_queue_settings admission;
+    response_buffer_settings answers;
 };
 
 }  // namespace wrenswitch
--- a/tests/decision/guard/answer_buffer_test.cpp
+++ b/tests/decision/guard/answer_buffer_test.cpp
@@ -6,8 +6,8 @@
 
 using namespace wrenswitch;
 
-struct buffer_fixture {
-    answer_buffer buffer{{10, seconds(60)}};
+struct response_buffer_fixture {
+    response_buffer buffer{{10, seconds(60)}};
     digest first{0, 1};
     digest second{0, 2};
     instant now{};
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(answer_buffer_test, buffer_fixture)
+BOOST_FIXTURE_TEST_SUITE(response_buffer_test, response_buffer_fixture)
 
-BOOST_AUTO_TEST_CASE(answer_beyond_the_bound_drops_the_one_that_ended_first) {
+BOOST_AUTO_TEST_CASE(response_beyond_the_bound_evicts_the_one_that_finished_first) {
     buffer.begin(first);
     buffer.append(first, "12345678");
-    buffer.end(first, now, true, 1);
+    buffer.finish(first, now, true, 1);
     buffer.begin(second);
     buffer.append(second, "1234");
     BOOST_TEST((buffer.find(first) == nullptr));
@@ -28,7 +28,7 @@
     BOOST_TEST(buffer.bytes() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(answer_too_long_alone_is_not_kept_in_part) {
+BOOST_AUTO_TEST_CASE(response_larger_than_the_buffer_is_not_kept_in_part) {
     buffer.begin(first);
     buffer.append(first, "12345678");
     buffer.append(first, "90ab");
@@ -38,10 +38,10 @@
     BOOST_TEST((buffer.find(first) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_ended_is_kept_for_its_time_only) {
+BOOST_AUTO_TEST_CASE(finished_response_is_kept_for_its_retention_time_only) {
     buffer.begin(first);
     buffer.append(first, "1");
-    buffer.end(first, now, true, 1);
+    buffer.finish(first, now, true, 1);
     buffer.expire(now + seconds(59));
     BOOST_TEST((buffer.find(first) != nullptr));
     buffer.expire(now + seconds(60));
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -200,7 +200,7 @@
     BOOST_TEST(config.version == 7U);
     BOOST_TEST((config.routes[0].kind == request_kind::resumable_stream));
     BOOST_TEST((config.routes[0].timeout == seconds(4)));
-    BOOST_TEST(config.routes[0].most_attempts == 2U);
+    BOOST_TEST(config.routes[0].max_attempts == 2U);
     BOOST_TEST((config.routes[1].kind == request_kind::single_run));
     BOOST_TEST(config.routes[1].splits.size() == 2U);
     BOOST_TEST(config.services[0].engine->tokens_per_event == 3);
@@ -208,10 +208,10 @@
     BOOST_TEST(config.services[0].engine->copy_ms_per_token == 0.002);
     BOOST_TEST(config.services[1].engine->copy_ms_per_token == 0.0);
     BOOST_TEST(!config.services[2].engine.has_value());
-    BOOST_TEST((config.routes[0].first_answer_aim == milliseconds(500)));
-    BOOST_TEST((config.routes[0].longest_pause == milliseconds(300)));
-    BOOST_TEST((config.routes[1].longest_pause == microseconds(0)));
-    BOOST_TEST(*config.accounts[0].prepaid == 2'900'465);
+    BOOST_TEST((config.routes[0].first_response_objective == milliseconds(500)));
+    BOOST_TEST((config.routes[0].max_event_gap == milliseconds(300)));
+    BOOST_TEST((config.routes[1].max_event_gap == microseconds(0)));
+    BOOST_TEST(*config.accounts[0].prepaid_tokens == 2'900'465);
     BOOST_TEST((config.limits.idle_timeout == seconds(15)));
 }
 
@@ -278,7 +278,7 @@
     BOOST_TEST(!config.routes[3].regions.has_value());
     BOOST_TEST((config.accounts[0].regions == allowed_regions{{"n"}}));
     BOOST_TEST(!config.accounts[1].regions.has_value());
-    BOOST_TEST(unreadable_limits(config).empty());
+    BOOST_TEST(unreadable_region_limits(config).empty());
 }
 
 BOOST_AUTO_TEST_CASE(limit_that_can_not_be_read_is_marked_and_allows_nothing_in_force) {
@@ -295,7 +295,7 @@
             BOOST_TEST(read.value().routes[0].regions_unreadable);
             BOOST_TEST(!read.value().routes[1].regions_unreadable);
             BOOST_TEST(read.value().accounts[0].regions_unreadable);
-            configuration_view view;
+            active_configuration view;
             BOOST_TEST(view.apply(read.value()));
             const gateway_configuration& config = view.current();
             BOOST_REQUIRE(config.routes[0].regions.has_value());
@@ -303,7 +303,7 @@
             BOOST_TEST(!config.routes[1].regions.has_value());
             BOOST_REQUIRE(config.accounts[0].regions.has_value());
             BOOST_TEST(config.accounts[0].regions->empty());
-            const std::vector<std::string> places = unreadable_limits(config);
+            const std::vector<std::string> places = unreadable_region_limits(config);
             BOOST_REQUIRE(places.size() == 2U);
             BOOST_TEST(places[0] == "routes/a/regions");
             BOOST_TEST(places[1] == "accounts/t/regions");
--- a/tests/roles/entry_rollouts_test.cpp
+++ b/tests/roles/entry_rollouts_test.cpp
@@ -227,7 +227,7 @@
     gateway_route route;
     route.name = "r";
     route.kind = request_kind::repeatable;
-    route.most_attempts = 2;
+    route.max_attempts = 2;
     std::size_t tried = 0;
     std::size_t tried_suspected = 0;
     for (std::uint64_t session = 0; session < 500; ++session) {
