--- a/include/wrenswitch/decision/gateway/target_pool.hpp
+++ b/include/wrenswitch/decision/gateway/target_pool.hpp
@@ -137,7 +137,7 @@
     void quarantine_new_version(instant now, std::string_view id);
 
     /// Handles the end of a complete read of the rollout orders that began at `began`.
-    void orders_read(instant began) { quarantine_.orders_read(began); }
+    void orders_read(instant began) { quarantine_.release_before(began); }
 
     /// True if targets are held back until the rollout orders have been read.
     bool waits_for_orders() const;
--- a/include/wrenswitch/decision/rollout/canary_plan.hpp
+++ b/include/wrenswitch/decision/rollout/canary_plan.hpp
@@ -7,41 +7,41 @@
 
 namespace wrenswitch {
 
-/// How the canary uses the budget of exposure at one time.
+/// Limits on the canary traffic at one point in time.
 struct canary_step {
-    /// The part of the budget that may be used up by now.
-    double part = 0.0;
-    /// The targets of the new version that are used, as in version_constraint.
+    /// The fraction of the exposure budget that may be used up by now, 0 to 1.
+    double budget_fraction = 0.0;
+    /// Size and seed of the group of new targets that receive canary traffic; size 0 means all.
     std::uint32_t group_size = 0;
     std::uint64_t group_seed = 0;
-    /// What each of these targets bears, over what each of the old version does; an estimate.
-    double load = 0.0;
+    /// Estimated load per selected target, relative to the load per target of the old version.
+    double relative_load = 0.0;
 };
 
-/// What the canary does in the course of an order's time. In each fifth of it other targets are
-/// used, so that a verdict rests on several, and as many as make each bear what an old one does. In
-/// the middle fifth they bear more than that (the stress), so that a version that is bad under load
-/// shows before it is moved to: the budget that was spared until then is used in three steps, each
-/// with other targets, and by one alone where a service has few.
+/// Schedules the canary traffic over the duration of a rollout order. The duration is divided into
+/// fifths; each uses a different group of targets, so that the evaluation covers several, and sizes
+/// the group so that a target is loaded about as much as an old one. During the middle fifth (the
+/// stress span) targets carry a higher load, to expose a version that fails under load before all
+/// traffic moves to it. The budget saved until then is spent in three steps, each on a different
+/// group, which is a single target in small services.
 class canary_plan {
 public:
     /// `exposed_share` is the share of the service's requests that entries may send to the new
-    /// version. `number` is the order's.
-    canary_plan(microseconds duration, double exposed_share, std::uint64_t number);
+    /// version. `order_number` makes the groups differ between orders.
+    canary_plan(microseconds duration, double exposed_share, std::uint64_t order_number);
 
     canary_step at(microseconds elapsed, std::size_t old_targets, std::size_t new_targets) const;
 
-    /// The most that a canary's target has borne until then, over what an old one did.
-    double highest_load(microseconds elapsed, std::size_t old_targets,
-                        std::size_t new_targets) const;
+    /// The highest load per canary target up to `elapsed`, relative to a target of the old version.
+    double peak_load(microseconds elapsed, std::size_t old_targets, std::size_t new_targets) const;
 
 private:
-    struct pace;
-    pace pace_at(double passed, std::size_t old_targets) const;
+    struct budget_use;
+    budget_use budget_use_at(double elapsed_s, std::size_t old_targets) const;
 
     microseconds duration_;
     double share_;
-    std::uint64_t number_;
+    std::uint64_t order_number_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/rollout/exposure_budget.hpp
+++ b/include/wrenswitch/decision/rollout/exposure_budget.hpp
@@ -4,30 +4,30 @@
 
 namespace wrenswitch {
 
-/// Bounds what one process sends to a version that isn't proved: never more than a share of the
-/// service's requests that this process itself has seen reach a target since it learnt of the
-/// order. Summed over any number of processes, also over those that were lost, started anew or cut
-/// off, that is no more than the share of all of the service's requests, with no word between them.
+/// Limits the requests that one process sends to an unproven version to a share of the service's
+/// requests that this process has seen reach a target since it learned of the order. Because each
+/// process keeps the limit on its own, the sum over all processes stays within the same share of
+/// all requests without coordination, even if processes crash, restart or are partitioned.
 class exposure_budget {
 public:
     explicit exposure_budget(double share) : share_(share) {}
 
-    /// A request of the service, to whatever version, has reached a target.
+    /// Counts a request of the service, of any version, that reached a target.
     void note_reached() { reached_ += 1; }
 
-    /// True if another request may go to the new version while no more than `part` of the budget is
-    /// used; 1 for all of it.
-    bool may_send(double part = 1.0) const {
-        return static_cast<double>(sent_ + 1) <= share_ * part * static_cast<double>(reached_);
+    /// True if another request may go to the new version without using more than `fraction` of the
+    /// budget; 1 stands for all of it.
+    bool may_send(double fraction = 1.0) const {
+        return static_cast<double>(sent_ + 1) <= share_ * fraction * static_cast<double>(reached_);
     }
 
-    /// How much of such a part is used; one or more if all is.
-    double used(double part) const {
-        const double allowed = share_ * part * static_cast<double>(reached_);
+    /// How much of that fraction of the budget is used; 1 or more if it is exhausted.
+    double used_fraction(double fraction) const {
+        const double allowed = share_ * fraction * static_cast<double>(reached_);
         return allowed > 0.0 ? static_cast<double>(sent_) / allowed : 1.0;
     }
 
-    /// A request goes to the new version.
+    /// Counts a request sent to the new version.
     void note_sent() { sent_ += 1; }
 
     std::uint64_t reached() const { return reached_; }
--- a/include/wrenswitch/decision/rollout/rollout_decider.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_decider.hpp
@@ -18,139 +18,140 @@
 
 namespace wrenswitch {
 
-/// What a decider of roll-outs is told of the fleet when it decides.
-struct rollout_surroundings {
-    /// How many targets of the service are listed, of the old versions and of the new one. Both are
-    /// zero while the list isn't known.
+/// The state of the fleet that a rollout_decider needs for a decision.
+struct rollout_context {
+    /// The number of listed targets of the service with old versions and with the new one. Both are
+    /// zero while the list of targets is unknown.
     std::size_t old_targets = 0;
     std::size_t new_targets = 0;
-    /// The processes that the directory of members names.
+    /// The processes in the member directory.
     std::span<const incarnation_id> members;
-    /// How far apart the reports of one process are.
+    /// The interval between two reports of one process.
     microseconds report_period{};
 };
 
-/// What a decider wants at one time.
+/// The outcome of one decision.
 struct rollout_decision {
-    /// The word to the entries; nothing while the decider doesn't know enough to say anything.
-    std::optional<rollout_stand> stand;
-    /// What the log of roll-outs should hold.
-    std::optional<rollout_record> wanted;
-    /// What is held of the version.
-    rollout_verdict verdict;
-    /// Members that aren't heard of and haven't moved.
-    std::vector<incarnation_id> unreached;
+    /// The instruction to the entries; empty while the decider doesn't know enough to give one.
+    std::optional<rollout_directive> directive;
+    /// The record to append to the rollout log, if any.
+    std::optional<rollout_record> record_to_append;
+    /// The latest evaluation of the new version.
+    rollout_evaluation evaluation;
+    /// Members without a fresh report that haven't reported moving off the old targets.
+    std::vector<incarnation_id> unreachable;
 };
 
-/// What came of a roll-out so far, as the reports tell it.
-struct rollout_sums {
+/// The sums of the reports received for one rollout.
+struct rollout_totals {
     rollout_evidence evidence;
     std::uint64_t reached = 0;
     std::uint64_t exposed = 0;
     std::size_t reporters = 0;
-    /// How old the oldest of the reports is that count as fresh, and how many are older.
-    microseconds greatest_age{};
-    std::size_t stale = 0;
+    /// The age of the oldest fresh report, and the number of reporters whose report is no longer
+    /// fresh.
+    microseconds max_report_age{};
+    std::size_t stale_reporters = 0;
 };
 
-/// Decides one service's roll-out by the reports of all entries. It holds nothing that another
-/// process couldn't find again from the reports and the log: the final states are the log's alone.
-/// Until the log has one, a version that is held for bad gets nothing, which can still be undone.
+/// Decides the rollout of one service from the reports of all entries. All its state can be rebuilt
+/// by another process from the reports and the rollout log; only the log makes a final state final.
+/// Until then a version evaluated as bad only loses its traffic, which is reversible.
 class rollout_decider {
 public:
-    using judge_hook = std::function<rollout_verdict(const rollout_evidence&, double stress)>;
+    using evaluate_hook =
+        std::function<rollout_evaluation(const rollout_evidence&, double load_ratio)>;
 
     /// `exposed_share` is the share of the service's requests that entries may send to the new
     /// version.
     rollout_decider(instant now, incarnation_id own, rollout_order order, double exposed_share,
-                    judge_hook judge);
+                    evaluate_hook evaluate);
 
     const rollout_order& order() const { return order_; }
 
-    /// Takes the newest report of a process, in place of its former one. One for another order is
-    /// ignored.
-    void take(instant now, incarnation_id process, const rollout_report& report,
-              rollout_evidence evidence);
+    /// Replaces the previous report of a process. Ignores reports for another order.
+    void record_report(instant now, incarnation_id process, const rollout_report& report,
+                       rollout_evidence evidence);
 
-    /// Wants the roll-out rolled back, whatever the answers are.
-    void stop(const std::string& reason) { roll_back(reason); }
+    /// Requests a rollback regardless of the evaluation.
+    void request_rollback(const std::string& reason) { roll_back(reason); }
 
-    /// What the log of roll-outs holds of the service.
-    void recorded(instant now, const rollout_record& record);
+    /// Applies the newest record of this service from the rollout log.
+    void apply_record(instant now, const rollout_record& record);
 
-    /// To be asked several times a second by the process that decides, and only by it. After a
-    /// pause it takes itself for one that has just begun. Only the process that wrote the log's
-    /// newest record says how the version is used, and completes; one that takes over writes itself
-    /// there first, so that what its predecessor still has under way loses its condition.
-    rollout_decision decide(instant now, const rollout_surroundings& around);
+    /// To be called several times a second, by the deciding process only. After a gap it starts
+    /// over like a new decider. Only the process that wrote the newest log record directs how the
+    /// version is used and completes the rollout. A process that takes over first appends a record
+    /// of its own, so that conditional appends of its predecessor that are still in flight fail.
+    rollout_decision decide(instant now, const rollout_context& context);
 
-    /// How much of the order's time has certainly passed.
-    microseconds elapsed(instant now) const { return now - began_; }
+    /// A lower bound of the time since the order was given.
+    microseconds elapsed(instant now) const { return now - order_time_; }
 
-    /// The time that the order gives.
+    /// The duration of the order, or the default if it has none.
     microseconds duration() const { return duration_; }
 
-    rollout_sums sums(instant now, microseconds report_period) const;
+    rollout_totals totals(instant now, microseconds report_period) const;
 
 private:
-    struct process_report {
-        instant came{};
+    struct received_report {
+        instant received_at{};
         rollout_report report;
         rollout_evidence evidence;
     };
 
-    void begin_if_new(instant now);
-    bool gathers(instant now, microseconds report_period) const;
-    void judge(instant now, const rollout_surroundings& around);
+    void reset_after_pause(instant now);
+    bool is_collecting_reports(instant now, microseconds report_period) const;
+    void evaluate(instant now, const rollout_context& context);
     void roll_back(const std::string& reason);
-    rollout_phase phase_of(instant now, const rollout_surroundings& around);
-    void note_moving(instant now, const rollout_surroundings& around);
-    bool is_served_by_new_alone(instant now, const rollout_surroundings& around);
-    void settle(instant now, rollout_phase phase, const rollout_surroundings& around,
-                rollout_decision& decision);
-    bool may_say(instant now, rollout_phase phase, microseconds report_period) const;
-    bool says_moved(instant now, const process_report& heard) const;
+    rollout_phase update_phase(instant now, const rollout_context& context);
+    void update_moving(instant now, const rollout_context& context);
+    bool is_new_version_alone(instant now, const rollout_context& context);
+    void update_completion(instant now, rollout_phase phase, const rollout_context& context,
+                           rollout_decision& decision);
+    bool may_send_directive(instant now, rollout_phase phase, microseconds report_period) const;
+    bool has_reported_move(instant now, const received_report& entry) const;
     bool is_owner() const { return record_ && record_->decider == own_; }
-    bool may_claim(instant now) const;
-    bool has_moved(instant now, const rollout_surroundings& around,
-                   std::vector<incarnation_id>& unreached) const;
-    bool is_fresh(const process_report& heard, instant now, microseconds report_period) const;
-    microseconds left(instant now) const { return duration_ - elapsed(now); }
-    std::optional<rollout_record> wanted(instant now);
-    rollout_stand stand_at(instant now, rollout_phase phase,
-                           const rollout_surroundings& around) const;
+    bool may_take_over(instant now) const;
+    bool has_everyone_moved(instant now, const rollout_context& context,
+                            std::vector<incarnation_id>& unreachable) const;
+    bool is_fresh(const received_report& entry, instant now, microseconds report_period) const;
+    microseconds remaining(instant now) const { return duration_ - elapsed(now); }
+    std::optional<rollout_record> next_record(instant now);
+    rollout_directive directive_at(instant now, rollout_phase phase,
+                                   const rollout_context& context) const;
 
     incarnation_id own_;
     rollout_order order_;
-    judge_hook judge_;
+    evaluate_hook evaluate_;
     microseconds duration_;
     canary_plan plan_;
     /// The latest instant at which the order can have been given.
-    instant began_;
-    std::map<incarnation_id, process_report> reports_;
-    /// What the log holds of this order, and whether it holds a later one.
+    instant order_time_;
+    std::map<incarnation_id, received_report> reports_;
+    /// The newest log record of this order, and whether the log has one of a later order.
     std::optional<rollout_record> record_;
     bool superseded_ = false;
-    instant record_came_{};
-    /// Since when this process decides without a pause, and when it last did.
+    instant record_received_at_{};
+    /// The start of the current uninterrupted period of decisions.
     instant deciding_since_{};
-    /// True if another process decided before.
-    bool taken_over_ = false;
-    /// True once this process has tried to write itself into the log since it began to decide.
-    bool claimed_ = false;
+    /// True if another process was the decider when this period began.
+    bool took_over_ = false;
+    /// True once this process has tried to append its own record in this period.
+    bool takeover_attempted_ = false;
     std::optional<instant> last_decided_;
-    std::optional<instant> last_judged_;
-    rollout_verdict verdict_;
-    /// Since when the version is moved to; nothing if it isn't.
+    std::optional<instant> last_evaluated_;
+    rollout_evaluation evaluation_;
+    /// The start of the moving phase; empty outside of it.
     std::optional<instant> moving_since_;
-    /// Since when only targets of the new version are listed.
+    /// Since when only targets of the new version have been listed.
     std::optional<instant> only_new_since_;
-    /// The final state that is wanted, and why.
-    std::optional<rollout_state> ending_;
-    std::string reason_;
-    /// True from the moment that completion was wanted until the log is known to hold a later
-    /// record: so long it may still get it.
-    bool may_complete_ = false;
+    /// The final state to be logged, and the reason for it.
+    std::optional<rollout_state> final_state_;
+    std::string final_reason_;
+    /// True from the first attempt to log completion until the log is known to hold a later record.
+    /// Meanwhile the completion may still be appended.
+    bool completion_pending_ = false;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/rollout/rollout_gate.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_gate.hpp
@@ -14,122 +14,129 @@
 
 namespace wrenswitch {
 
-/// What a roll-out needs to know of one request.
+/// The properties of a request that decide which version it may go to.
 struct rollout_request {
     std::string route;
-    /// The same for all requests of a session, so that it stays with one version.
+    /// Equal for all requests of a session, so that a session stays with one version.
     std::uint64_t session = 0;
-    /// True if the request can go on at another target after a break.
-    bool can_move = false;
-    /// True if its answer is a stream, which takes longer than others.
-    bool lasts = false;
-    /// True if it was sent to a target before: an unproved version isn't tried with it again.
-    bool again = false;
-    /// True if the versions that it should go to have no target for it.
-    bool in_need = false;
+    /// True if the request can be retried at another target after its connection breaks.
+    bool retryable = false;
+    /// True if the response is a stream, which takes longer than other responses.
+    bool streaming = false;
+    /// True if the request was sent to a target before: it isn't retried at an unproven version.
+    bool already_sent = false;
+    /// True if the versions that it may go to have no available target.
+    bool no_candidates = false;
 };
 
-/// One service's roll-out as one entry sees it: which version each request goes to, the bound on
-/// what an unproved version gets, and the evidence of the answers. It keeps the bound by itself;
-/// whatever it is told, or isn't told, the version gets no more before it is proved.
+/// The rollout of one service as seen by one entry. Decides which version each request may go to,
+/// bounds the requests that an unproven version gets, and collects the evidence of the responses.
+/// The bound is enforced locally: no directive, late or lost, makes an unproven version exceed it.
 class rollout_gate {
 public:
-    /// `excluded` are the versions of earlier orders that weren't completed: nothing goes there.
+    /// `excluded` are the versions of earlier orders that weren't completed; they get no requests.
     rollout_gate(instant now, rollout_order order, double exposed_share, version_set excluded = {});
 
     const rollout_order& order() const { return order_; }
-    const rollout_stand& stand() const { return stand_; }
+    const rollout_directive& directive() const { return directive_; }
     const version_set& excluded() const { return excluded_; }
 
-    /// The versions that get nothing once another order follows: this one's too, unless it serves.
+    /// The versions to exclude once another order follows: includes this order's version unless it
+    /// was completed or already deployed.
     version_set excluded_after() const;
 
-    /// Takes the decider's word, or the log's final state. One for another order is ignored, and
-    /// nothing follows a final phase. True if the phase changed.
-    bool take(instant now, const rollout_stand& stand);
+    /// Applies a directive of the decider or a final state from the log. Ignores those for another
+    /// order, and everything after a final phase. True if the phase changed.
+    bool apply(instant now, const rollout_directive& directive);
 
-    /// The operator took the order back. What is completed stays so.
+    /// Ends the rollout because the operator withdrew the order; has no effect once completed. True
+    /// if the phase changed.
     bool withdraw(instant now);
 
-    /// All targets that the service has were of the ordered version before the order came: there is
-    /// nothing to be proved and nothing to move from.
-    void note_in_force() { in_force_ = true; }
-
-    /// The versions that a request may go to; nothing if there is none right now: after
-    /// the deadline there is one again.
-    std::optional<version_constraint> limit_for(instant now, const rollout_request& request) const;
-
-    /// The versions that are left for a request whose limit has no candidates. The new one gets it
-    /// only within the bound; nothing if the request has to be refused.
-    std::optional<version_constraint> limit_without_candidates(
-        const version_constraint& limit) const;
-
-    /// A request goes to a target of this version. To be asked right before the send: false if the
-    /// request must not go there any more, since the bound is used up or the phase changed
-    /// meanwhile.
-    bool begin(instant now, const rollout_request& request, const std::string& version,
-               const std::string& target);
-
-    /// What came of a request that began at a target of this version. `first` is the time to its
-    /// first event or head, if one came, and `pace` that of an event after it, if it is known.
-    enum class answer { well, badly, silent };
-    void end(const rollout_request& request, const std::string& version, const std::string& target,
-             answer how, std::optional<microseconds> first, std::optional<microseconds> pace);
-
-    /// A request that was under way at an old target when the order came, and that can't go on
-    /// elsewhere, or its end.
-    void note_bound_to_old() { bound_to_old_ += 1; }
-    void note_unbound() { bound_to_old_ -= bound_to_old_ > 0 ? 1 : 0; }
-
-    /// A request of the service has reached a target, of whatever version.
+    /// All targets of the service already had the ordered version before the order: there is
+    /// nothing to prove and nothing to move.
+    void mark_already_deployed() { already_deployed_ = true; }
+
+    /// The versions that a request may go to; empty if there is none at the moment. That can only
+    /// happen in the cutover window; past the deadline there is one again.
+    std::optional<version_constraint> constraint_for(instant now,
+                                                     const rollout_request& request) const;
+
+    /// The versions to fall back to if those of `preferred` have no candidates. The new version is
+    /// included only within the exposure bound; empty if the request has to be refused.
+    std::optional<version_constraint> fallback_constraint(
+        const version_constraint& preferred) const;
+
+    /// Starts an attempt at a target of this version. To be called right before sending: false if
+    /// the request must no longer go there because the bound is used up or the phase has changed.
+    bool begin_attempt(instant now, const rollout_request& request, const std::string& version,
+                       const std::string& target);
+
+    /// Records the outcome of an attempt. `first_event` is the time to the first event or the
+    /// response head, if one arrived; `event_interval` is the mean time per event after it, if
+    /// known.
+    enum class outcome { succeeded, failed, inconclusive };
+    void end_attempt(const rollout_request& request, const std::string& version,
+                     const std::string& target, outcome result,
+                     std::optional<microseconds> first_event,
+                     std::optional<microseconds> event_interval);
+
+    /// Counts the requests that were in flight at an old target when the order arrived and that
+    /// can't be retried elsewhere.
+    void add_pinned_request() { pinned_to_old_ += 1; }
+    void remove_pinned_request() { pinned_to_old_ -= pinned_to_old_ > 0 ? 1 : 0; }
+
+    /// Counts a request of the service, of any version, that reached a target.
     void note_reached() { exposure_.note_reached(); }
 
     const exposure_budget& exposure() const { return exposure_; }
     const rollout_evidence& evidence() const { return evidence_; }
     rollout_report report(instant now) const;
 
-    /// How much of the order's time is left by the newest word of the decider.
-    microseconds left(instant now) const { return stand_.left - (now - stand_at_); }
+    /// Time left of the order's duration according to the newest directive.
+    microseconds remaining(instant now) const {
+        return directive_.remaining - (now - directive_received_at_);
+    }
 
 private:
-    /// How many requests of a route went to either version.
-    struct route_sums {
-        std::uint64_t of_old = 0;
-        std::uint64_t of_new = 0;
+    /// The requests of one route sent to each version.
+    struct route_counts {
+        std::uint64_t to_old = 0;
+        std::uint64_t to_new = 0;
     };
 
     bool is_new(const std::string& version) const { return version == order_.version; }
-    bool in_last_moments(instant now) const;
+    bool in_cutover(instant now) const;
     bool past_deadline(instant now) const;
-    bool must_leave_old(instant now, const rollout_request& request) const;
+    bool must_avoid_old(instant now, const rollout_request& request) const;
     bool may_expose(instant now, const rollout_request& request) const;
     bool may_begin_at_new(instant now) const;
     bool has_just_completed(instant now) const;
-    bool wanted_by_canary(const rollout_request& request) const;
-    double usable_part(instant now, const rollout_request& request) const;
-    version_constraint limited(version_rule rule) const {
+    bool is_selected_for_canary(const rollout_request& request) const;
+    double usable_fraction(instant now, const rollout_request& request) const;
+    version_constraint constraint(version_rule rule) const {
         return {rule, order_.version, 0, 0, excluded_};
     }
     version_constraint only_new() const;
-    version_constraint only_old() const { return limited(version_rule::other_than); }
-    std::optional<version_constraint> limit_under_way(instant now,
-                                                      const rollout_request& request) const;
-    void look_whether_bad();
+    version_constraint only_old() const { return constraint(version_rule::other_than); }
+    std::optional<version_constraint> constraint_while_running(
+        instant now, const rollout_request& request) const;
+    void update_found_bad();
 
     rollout_order order_;
     double exposed_share_;
     version_set excluded_;
-    instant known_since_;
-    rollout_stand stand_;
-    instant stand_at_;
+    instant order_known_since_;
+    rollout_directive directive_;
+    instant directive_received_at_;
     exposure_budget exposure_;
     rollout_evidence evidence_;
-    std::map<std::string, route_sums, std::less<>> routes_;
-    /// Requests under way at old targets that can't go on elsewhere.
-    std::uint64_t bound_to_old_ = 0;
-    /// The part of the budget that the canary had last.
-    double canary_part_ = 0.0;
-    bool in_force_ = false;
+    std::map<std::string, route_counts, std::less<>> routes_;
+    /// Requests in flight at old targets that can't be retried elsewhere.
+    std::uint64_t pinned_to_old_ = 0;
+    /// The budget fraction of the last directive in the canary phase.
+    double canary_fraction_ = 0.0;
+    bool already_deployed_ = false;
     bool found_bad_ = false;
 };
 
--- a/include/wrenswitch/decision/rollout/rollout_judge.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_judge.hpp
@@ -8,62 +8,63 @@
 
 namespace wrenswitch {
 
-/// What is held of a version.
-enum class rollout_opinion {
-    /// Too little is known; the old version goes on serving.
+/// The result of evaluating a version.
+enum class evaluation_result {
+    /// Not enough evidence; the old version keeps serving.
     undecided,
-    /// It answers worse than the old one: to be rolled back.
+    /// Worse than the old version: to be rolled back.
     bad,
-    /// It does as well as the old one, as far as what was asked shows.
+    /// As good as the old version, as far as the evidence shows.
     good,
 };
 
-const char* name_of(rollout_opinion opinion);
+const char* name_of(evaluation_result result);
 
-/// An opinion and what it rests on, for the log.
-struct rollout_verdict {
-    rollout_opinion opinion = rollout_opinion::undecided;
-    /// In the words of an operator: which test, which route, which figures.
+/// An evaluation result and the reason for it, for the log.
+struct rollout_evaluation {
+    evaluation_result result = evaluation_result::undecided;
+    /// Readable by operators: names the test, the route and the figures.
     std::string reason;
 };
 
-/// Judges a version by its answers, with the old version's at the same time on the same routes as
-/// the control. A sequential test: it may be asked at any time and as often as one likes, and its
-/// errors stay what the settings say.
+/// Evaluates a new version by its responses, with the old version's responses on the same routes in
+/// the same period as the control group. It is a sequential test: evaluating at any time and any
+/// number of times keeps the error rates in the settings.
 ///
-/// The first `bad` is to be acted on: its error is that of all times together. `good` is the
-/// opinion at the moment, to be asked for until the move ends; of few answers it rules out little,
-/// and its reason says how much. One target that differs from the others of its version is left
-/// out; so the target that has the most load must change, or a version that is bad under load looks
-/// like that.
+/// The first `bad` result should be acted on, as its error rate covers all evaluations together.
+/// `good` only describes the present evidence and should be checked again until the move ends; with
+/// few responses it rules out little, and the reason says how much. A single target that differs
+/// from the others of its version is excluded as an outlier. For the same reason the most loaded
+/// target has to change over time, or a version that fails under load looks like an outlier.
 ///
-/// A call takes 0.04 to 0.08 ms with four routes and four targets, 0.2 to 0.3 ms with 57: means of
-/// 1,000 calls with the evidence of a good roll-out, in three runs of `wrenload policy-rollout`
-/// beside other work.
-class rollout_judge {
+/// One call takes 0.04 to 0.08 ms with four routes and four targets and 0.2 to 0.3 ms with 57:
+/// means of 1,000 calls on the evidence of a good rollout, in three runs of `wrenload
+/// policy-rollout` on a machine with other load.
+class rollout_evaluator {
 public:
     struct settings {
-        /// The share of good versions that may be called bad.
-        double wrongly_bad = 0.001;
-        /// The error with which a good verdict rules out what its reason says that it rules out.
-        double wrongly_good = 0.02;
-        /// A verdict on a version's targets rests on at least so many of them, if it has them.
-        std::size_t least_targets = 2;
+        /// The share of good versions that may be evaluated as bad.
+        double false_bad_rate = 0.001;
+        /// The error probability of the bound that the reason of a `good` result states.
+        double false_good_rate = 0.02;
+        /// The number of targets that a result about a version has to rest on, if it has as many.
+        std::size_t min_targets = 2;
     };
 
-    explicit rollout_judge(settings chosen);
+    explicit rollout_evaluator(settings values);
 
-    /// `stress` is how much more each target of the new version has had to do than each of the old
-    /// one, for versions whose targets slow down under load; 1 if as much.
-    rollout_verdict judge(const rollout_evidence& evidence, double stress = 1.0) const;
+    /// `load_ratio` is the load per target of the new version relative to the old one. It allows
+    /// for versions whose targets slow down under load; 1 means equal load.
+    rollout_evaluation evaluate(const rollout_evidence& evidence, double load_ratio = 1.0) const;
 
-    /// The same with the evidence of several stretches of time, one for each time at which the new
-    /// version's part of the answers changed: of what was sent while it was the canary, and while
-    /// it moved. Taken as one, failures that both versions give only during the move would seem the
-    /// new one's, which has more of its answers there: 62 of 200 good versions were rolled back for
-    /// 20% failures of both, none with stretches, 13 with what came before and after the move began
-    /// (`rollout_evidence::since`).
-    rollout_verdict judge(std::span<const rollout_evidence> stretches, double stress = 1.0) const;
+    /// Evaluates several intervals, one for each period with a constant share of the traffic for
+    /// the new version: requests sent during the canary phase, and during the moving phase. In a
+    /// single interval, failures of both versions that occur only during the move would be
+    /// attributed to the new version, which has most of its responses then: with 20% failures of
+    /// both, 62 of 200 good versions were rolled back, none with intervals, and 13 with intervals
+    /// split by when the responses arrived (`rollout_evidence::since`).
+    rollout_evaluation evaluate(std::span<const rollout_evidence> intervals,
+                                double load_ratio = 1.0) const;
 
 private:
     settings settings_;
--- a/include/wrenswitch/decision/rollout/rollout_order.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_order.hpp
@@ -12,38 +12,38 @@
 struct rollout_order {
     std::string service;
     std::string version;
-    /// How long it may take from the order on; zero if the order doesn't say.
+    /// Time limit from the order to completion; zero if the order has none.
     microseconds duration{};
-    /// Where the order stands in the configuration's log: names it, and a later one has a higher
-    /// number.
+    /// The position of the order in the configuration log. Identifies the order; later orders have
+    /// higher numbers.
     std::uint64_t number = 0;
 
     friend bool operator==(const rollout_order&, const rollout_order&) = default;
 };
 
-/// Where a roll-out stands. The last two are final.
+/// The logged state of a rollout. The last two are final.
 enum class rollout_state {
     running,
-    /// The service's traffic is the new version's; the old targets are ended at once.
+    /// The new version serves all traffic; the old targets are stopped at once.
     completed,
-    /// Nothing goes to the new version; its targets leave.
+    /// The new version gets no traffic; its targets are removed.
     rolled_back,
 };
 
-/// The name of a state, as logs and metrics show it.
+/// The name of a state in logs and metrics.
 const char* name_of(rollout_state state);
 
-/// What the fleet's log of roll-outs holds of one service: the newest order that was taken up and
-/// what became of it. Written under a condition, so that two deciders can't contradict each other.
+/// The record of one service in the rollout log: its newest order that was started, and its state.
+/// Appended conditionally, so that two deciders can't contradict each other.
 struct rollout_record {
     std::string service;
     std::uint64_t order = 0;
     std::string version;
     rollout_state state = rollout_state::running;
-    /// How much of the order's time had certainly passed when the record was written. What is lost
-    /// with all processes makes it too small, never too large: the roll-out then ends late.
+    /// A lower bound of the time between the order and this record. Time lost when all processes
+    /// fail makes it too small, never too large, so the rollout then ends late.
     microseconds elapsed{};
-    /// Who wrote it, and why, for operators.
+    /// The process that wrote the record, and the reason, for operators.
     incarnation_id decider{};
     std::string reason;
 
--- a/include/wrenswitch/decision/rollout/rollout_stand.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_stand.hpp
@@ -7,59 +7,60 @@
 
 namespace wrenswitch {
 
-/// What an entry does with a service's requests while the service is rolled out.
+/// How entries split a service's requests between the versions during a rollout.
 enum class rollout_phase {
-    /// The order is known and nobody has taken it up: the old version serves.
+    /// No decider has started the rollout yet, or it is suspended: the old version serves.
     waiting,
-    /// A small share goes to the new version.
+    /// A small share of requests goes to the new version.
     canary,
-    /// The version is held for good: requests go to the new version as the bound on exposure
-    /// allows, those first that the old targets couldn't end in time.
+    /// The version was evaluated as good: requests move to it within the exposure bound, first
+    /// those that an old target couldn't finish in time.
     moving,
     /// All requests go to the new version.
     completed,
-    /// None does.
+    /// No requests go to the new version.
     rolled_back,
 };
 
 const char* name_of(rollout_phase phase);
 
-/// True if nothing follows this phase.
+/// True if the phase is final.
 bool is_over(rollout_phase phase);
 
-/// The decider's word to the entries on one service. A lost one does no harm: the next replaces it,
-/// and the final phases stand in the log as well.
-struct rollout_stand {
+/// The decider's instruction to the entries for one service. Losing one is harmless: the next
+/// replaces it, and final phases are in the rollout log as well.
+struct rollout_directive {
     std::string service;
     std::uint64_t order = 0;
     std::string version;
     rollout_phase phase = rollout_phase::waiting;
-    /// The part of the exposure budget that the canary may use.
-    double canary_part = 0.0;
-    /// The targets of the new version that the canary uses, as in version_constraint.
+    /// The fraction of the exposure budget that the canary may use, 0 to 1.
+    double canary_fraction = 0.0;
+    /// Size and seed of the group of new targets that serve the canary; size 0 means all.
     std::uint32_t group_size = 0;
     std::uint64_t group_seed = 0;
-    /// How much of the order's time is left, as the decider knows it; zero or less once it is over.
-    microseconds left{};
-    /// The version is held for bad, though the log can't tell it yet: nothing goes there.
-    bool held_for_bad = false;
+    /// Time left of the order's duration as known to the decider; zero or negative past the
+    /// deadline.
+    microseconds remaining{};
+    /// The version was evaluated as bad but the rollback isn't logged yet: send it no requests.
+    bool version_bad = false;
 
-    friend bool operator==(const rollout_stand&, const rollout_stand&) = default;
+    friend bool operator==(const rollout_directive&, const rollout_directive&) = default;
 };
 
-/// What an entry tells the decider beside its evidence.
+/// The status that an entry reports to the decider along with its evidence.
 struct rollout_report {
     std::string service;
     std::uint64_t order = 0;
-    /// How long this process has known of the order, which is no more than its age.
+    /// How long this process has known of the order: a lower bound of the order's age.
     microseconds known_for{};
-    /// True once the phase is `moving`, nothing new goes to old targets and nothing is left there
-    /// that can't go on at another target.
+    /// True if the phase is `moving`, no new requests go to old targets, and all that are still in
+    /// flight there could be retried at another target.
     bool moved = false;
-    /// Requests of the service that reached a target, and those that went to the new version.
+    /// Requests of the service that reached a target, and requests sent to the new version.
     std::uint64_t reached = 0;
     std::uint64_t exposed = 0;
-    /// True if this process is sure that the version is bad by its own answers.
+    /// True if the responses seen by this process alone show that the version is bad.
     bool found_bad = false;
 };
 
--- a/include/wrenswitch/decision/rollout/rollout_table.hpp
+++ b/include/wrenswitch/decision/rollout/rollout_table.hpp
@@ -8,18 +8,18 @@
 
 namespace wrenswitch {
 
-/// The fold of the log of roll-outs: every reader applies the records in the log's order and has
-/// the same table. A final state stays, whatever follows for the same order; an older order's
-/// record changes nothing.
+/// The newest record of each service, built by applying the rollout log in order, so that every
+/// reader has the same table. A final state can't be replaced by a record of the same order, and
+/// records of older orders are ignored.
 class rollout_table {
 public:
-    /// Takes a record in. False, with no change, if it isn't valid after what was there.
+    /// Applies a record. False, without a change, if the current one doesn't allow it.
     bool apply(const rollout_record& record);
 
-    /// True if the record would be taken.
+    /// True if `apply` would accept the record.
     bool accepts(const rollout_record& record) const;
 
-    /// What is known of a service's newest order that was taken up, or null.
+    /// The current record of a service, or null.
     const rollout_record* find(std::string_view service) const;
 
     const std::map<std::string, rollout_record, std::less<>>& all() const { return records_; }
--- a/include/wrenswitch/decision/rollout/version_quarantine.hpp
+++ b/include/wrenswitch/decision/rollout/version_quarantine.hpp
@@ -8,32 +8,34 @@
 
 namespace wrenswitch {
 
-/// The targets of versions that this process met in the list of targets, and for which it can't yet
-/// know whether an operator has ordered a roll-out to them: the order may stand in a log that it
-/// hasn't read so far. An order is written before its targets start, so that a look at that log
-/// which began after the target was met settles it.
+/// Targets with a newly seen version for which this process can't know yet whether the operator has
+/// ordered a rollout: the order may be in the part of the log that it hasn't read. Orders are
+/// written before their targets start, so a read of the log that began after the target was first
+/// seen settles the question.
 class version_quarantine {
 public:
-    /// A target of a version that no other one of its service has was met.
-    void add(instant now, std::string_view id) { since_.emplace(id, now); }
+    /// Adds a target whose version no other target of its service has.
+    void add(instant now, std::string_view id) { added_at_.emplace(id, now); }
 
     void remove(std::string_view id) {
-        const auto found = since_.find(id);
-        if (found != since_.end()) {
-            since_.erase(found);
+        const auto found = added_at_.find(id);
+        if (found != added_at_.end()) {
+            added_at_.erase(found);
         }
     }
 
-    /// The log of orders was read to its end by a read that began then.
-    void orders_read(instant began) {
-        std::erase_if(since_, [began](const auto& entry) { return entry.second < began; });
+    /// Releases the targets added before a complete read of the order log that began at
+    /// `read_started`.
+    void release_before(instant read_started) {
+        std::erase_if(added_at_,
+                      [read_started](const auto& entry) { return entry.second < read_started; });
     }
 
-    bool contains(std::string_view id) const { return since_.contains(id); }
-    bool empty() const { return since_.empty(); }
+    bool contains(std::string_view id) const { return added_at_.contains(id); }
+    bool empty() const { return added_at_.empty(); }
 
 private:
-    std::map<std::string, instant, std::less<>> since_;
+    std::map<std::string, instant, std::less<>> added_at_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/suspects/broken_runs.hpp
+++ b/include/wrenswitch/decision/suspects/broken_runs.hpp
@@ -10,57 +10,64 @@
 
 namespace wrenswitch {
 
-/// Settings of the memory of broken runs.
-struct broken_runs_settings {
-    /// How long a run is remembered. The platform's list drops a target three heartbeats after its
-    /// end (some 3.6 s), and one that starts again is listed anew within about as long.
-    microseconds memory = seconds(8);
-    /// A run that was called off may still be at work at its target for so long.
-    microseconds still_at_work = seconds(1);
-    /// Runs that are remembered of one life; more than a target has places.
-    std::size_t most_of_a_life = 256;
+/// Settings of interrupted_attempts.
+struct interrupted_attempts_settings {
+    /// How long an attempt is remembered. The platform's list drops a target three heartbeats after
+    /// it ends (about 3.6 s), and a restarted one is listed again within about the same time.
+    microseconds retention = seconds(8);
+    /// How long a cancelled attempt may still be executing at its target.
+    microseconds cancelled_in_flight_time = seconds(1);
+    /// Attempts remembered per incarnation; more than a target can execute at once.
+    std::size_t max_per_incarnation = 256;
 };
 
-/// The requests whose runs broke off, by the life of their target, until it is known whether that
-/// has ended. A broken connection alone says nothing of its target: it may have been reset or cut,
-/// or the answer was garbled.
-class broken_runs {
+/// Attempts whose connection failed before the response was complete, by target incarnation, kept
+/// until it is known whether the target process ended. A failed connection alone doesn't show that:
+/// it may have been reset or cut, or the response was malformed.
+class interrupted_attempts {
 public:
-    explicit broken_runs(broken_runs_settings settings = {}) : settings_(settings) {}
+    explicit interrupted_attempts(interrupted_attempts_settings settings = {})
+        : settings_(settings) {}
 
-    /// A run's connection ended before its answer did.
-    void broke(instant now, const target_life& life, const digest& request);
+    /// Records an attempt whose connection ended before its response did.
+    void record_interrupted(instant now, const target_incarnation& incarnation,
+                            const digest& request);
 
-    /// This entry ended a run by itself before its answer did.
-    void left(instant now, const target_life& life, const digest& request);
+    /// Records an attempt that this entry cancelled before the response was complete.
+    void record_cancelled(instant now, const target_incarnation& incarnation,
+                          const digest& request);
 
-    /// The target has shown that this life of it goes on: what broke, broke for another reason.
-    void lives(const target_life& life) { lives_.erase(life); }
+    /// Discards the attempts of an incarnation that has proven to be alive: they were interrupted
+    /// for another reason.
+    void discard(const target_incarnation& incarnation) {
+        attempts_by_incarnation_.erase(incarnation);
+    }
 
-    /// True if a run broke off at this life of a target and it isn't known why.
-    bool has_broken(const target_life& life) const;
+    /// True if attempts at this incarnation were interrupted for a reason still unknown.
+    bool has_interrupted(const target_incarnation& incarnation) const;
 
-    /// The lives of a target at which runs broke off.
-    std::vector<target_life> broken_lives(std::string_view target) const;
+    /// The incarnations of a target with interrupted attempts.
+    std::vector<target_incarnation> interrupted_incarnations(std::string_view target) const;
 
-    /// This life has ended: the requests that were under way, each once. They are forgotten.
-    std::vector<digest> take_ended(const target_life& life);
+    /// Removes the attempts of an incarnation that has ended and returns the requests that were in
+    /// flight at the time, without duplicates.
+    std::vector<digest> take_in_flight(const target_incarnation& incarnation);
 
-    /// Forgets what is too old to be explained any more.
-    void forget_old(instant now);
+    /// Discards attempts that are older than the retention time.
+    void discard_expired(instant now);
 
 private:
-    struct run {
+    struct attempt {
         digest request;
         instant ended{};
-        /// False if this entry ended it.
-        bool broke = false;
+        /// False if this entry cancelled the attempt.
+        bool interrupted = false;
     };
 
-    void note(const target_life& life, run ended);
+    void add(const target_incarnation& incarnation, attempt ended);
 
-    broken_runs_settings settings_;
-    std::map<target_life, std::vector<run>> lives_;
+    interrupted_attempts_settings settings_;
+    std::map<target_incarnation, std::vector<attempt>> attempts_by_incarnation_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/suspects/request_fingerprint.hpp
+++ b/include/wrenswitch/decision/suspects/request_fingerprint.hpp
@@ -6,19 +6,19 @@
 
 namespace wrenswitch {
 
-/// What makes a request the same one when it comes again under another identifier.
+/// The content that identifies a request when it is repeated under another request identifier.
 struct request_content {
     std::string_view method;
     std::string_view host;
     /// Path and query.
     std::string_view target;
-    /// The client account that pays; empty if none does.
+    /// The client account that is billed; empty if there is none.
     std::string_view account;
     std::string_view body;
 };
 
-/// The same for requests of the same content, at every entry. Callers choose the content, and one
-/// must not be able to make another's request look like its own: hence the digest.
+/// A digest of the content, the same at every entry. It is cryptographic because callers choose the
+/// content, and one caller must not be able to forge the fingerprint of another's request.
 digest fingerprint_of(const request_content& content);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/suspects/suspect_table.hpp
+++ b/include/wrenswitch/decision/suspects/suspect_table.hpp
@@ -16,89 +16,92 @@
 
 namespace wrenswitch {
 
-/// What is held of a request by the ends of targets that it was under way at.
+/// How likely a request is to crash its targets.
 enum class suspicion {
     none,
-    /// Fewer targets ended under it than it takes: it may have stood beside.
+    /// In flight at fewer crashes than the quarantine threshold: may be unrelated to them.
     suspected,
-    /// It is sent to no target.
+    /// Not sent to any target.
     quarantined,
 };
 
-/// The name of a suspicion as logs show it.
-std::string_view name_of(suspicion held);
+/// The name of a suspicion in logs.
+std::string_view name_of(suspicion value);
 
-/// One piece of evidence: a target ended while a request was under way at it.
-struct suspect_end {
+/// One piece of evidence: a target crashed while the request was in flight there.
+struct crash_evidence {
     digest request;
-    target_life life;
+    target_incarnation incarnation;
 
-    friend bool operator==(const suspect_end&, const suspect_end&) = default;
-    friend bool operator<(const suspect_end& left, const suspect_end& right) {
-        return std::tie(left.request, left.life) < std::tie(right.request, right.life);
+    friend bool operator==(const crash_evidence&, const crash_evidence&) = default;
+    friend bool operator<(const crash_evidence& left, const crash_evidence& right) {
+        return std::tie(left.request, left.incarnation) <
+               std::tie(right.request, right.incarnation);
     }
 };
 
-/// Settings of the table.
+/// Settings of suspect_table.
 struct suspect_settings {
-    /// So many lives have to end under a request before it is held to have ended them. A request
-    /// that merely stood beside one is met again at a second and a third end only if it is repeated
-    /// into each of them and never ends well between.
-    std::size_t quarantined_at = 3;
-    /// How long a quarantine lasts at first. Each further end doubles it.
-    microseconds first_quarantine = seconds(600);
-    unsigned most_doublings = 6;
-    /// How long evidence is kept behind the end of a quarantine, or behind the last of it.
-    microseconds memory = seconds(7200);
-    /// A request that ended well has shown for so long that it ends no target. Much longer than a
-    /// wave of ends, and short enough that one whose targets have changed is found again.
-    microseconds proven_for = seconds(30);
-    std::size_t most_requests = 4096;
-    std::size_t most_proven = 4096;
+    /// The number of target incarnations that have to crash under a request before it is
+    /// quarantined. An unrelated request is only in flight at a second and a third crash if it is
+    /// repeated into each of them and never succeeds in between.
+    std::size_t quarantine_threshold = 3;
+    /// The duration of the first quarantine. Each further crash doubles it.
+    microseconds base_quarantine = seconds(600);
+    unsigned max_doublings = 6;
+    /// How long evidence is kept after the quarantine ends, or after the last crash if there is
+    /// none.
+    microseconds evidence_retention = seconds(7200);
+    /// How long a success proves that a request doesn't crash its targets. Much longer than a wave
+    /// of crashes, but short enough that a request is detected again when its targets have changed.
+    microseconds proof_lifetime = seconds(30);
+    std::size_t max_requests = 4096;
+    std::size_t max_proven = 4096;
 };
 
-/// Which requests may have ended their targets. All requests that were under way at an end are
-/// suspects, and one that comes to stand at several ends is quarantined; one that ends well
-/// anywhere is cleared, since a request that ends its targets never does. The evidence is a set: it
-/// may be learnt in any order and more than once, from this entry's runs, from other entries and
-/// from the log, and all entries that have learnt the same hold the same.
+/// Tracks requests that may crash their targets ("queries of death"). Every request in flight at a
+/// crash becomes a suspect; one that is in flight at several crashes is quarantined, and one that
+/// succeeds anywhere is cleared, since a request that crashes its targets never succeeds. The
+/// evidence is a set that may arrive in any order and repeatedly, from this entry's attempts, from
+/// other entries and from the log; entries with the same evidence reach the same result.
 class suspect_table {
 public:
     explicit suspect_table(suspect_settings settings = {}) : settings_(settings) {}
 
-    /// Takes in an end. True if it is news. A life counts once, however many entries tell of it.
-    bool add(instant now, const suspect_end& end);
+    /// Adds evidence. True if it is new. A crash of one incarnation counts once, however many
+    /// entries report it.
+    bool add(instant now, const crash_evidence& evidence);
 
-    /// Takes back one piece of evidence. True if it was held.
-    bool remove(const suspect_end& end);
+    /// Removes evidence. True if it was present.
+    bool remove(const crash_evidence& evidence);
 
-    /// A request ended well: all that was held against it, which is dropped.
-    std::vector<suspect_end> ended_well(instant now, const digest& request);
+    /// Records a success of the request, and returns the evidence against it, which is removed.
+    std::vector<crash_evidence> record_success(instant now, const digest& request);
 
-    /// True if the request has ended well here of late.
+    /// True if the request succeeded here within the proof lifetime.
     bool is_proven(instant now, const digest& request) const;
 
-    suspicion held_of(instant now, const digest& request) const;
+    suspicion suspicion_of(instant now, const digest& request) const;
 
-    /// True if this end is held against its request.
-    bool holds(const suspect_end& end) const;
+    /// True if the table has this evidence.
+    bool contains(const crash_evidence& evidence) const;
 
-    /// The lives that ended under a request.
-    std::size_t ends_of(const digest& request) const;
+    /// The number of target incarnations that crashed under the request.
+    std::size_t crash_count(const digest& request) const;
 
-    /// The evidence against a request.
-    std::vector<suspect_end> evidence(const digest& request) const;
+    /// All evidence against the request.
+    std::vector<crash_evidence> evidence_for(const digest& request) const;
 
-    /// The evidence that is too old, or that there is no room for, which is dropped.
-    std::vector<suspect_end> drop_old(instant now);
+    /// Removes and returns the evidence that has expired or exceeds the capacity.
+    std::vector<crash_evidence> evict_expired(instant now);
 
-    /// Requests that are suspected or quarantined.
+    /// The number of suspected and quarantined requests.
     std::size_t size() const { return suspects_.size(); }
 
 private:
-    struct suspect {
-        std::set<target_life> ended;
-        instant last{};
+    struct suspect_entry {
+        std::set<target_incarnation> crashes;
+        instant last_crash{};
     };
 
     struct proof {
@@ -106,15 +109,15 @@
         instant at{};
     };
 
-    void forget_proven();
-    microseconds quarantine_of(const suspect& held) const;
-    std::vector<suspect_end> drop(const digest& request);
-    const digest* least_wanted() const;
+    void trim_proven();
+    microseconds quarantine_duration(const suspect_entry& entry) const;
+    std::vector<crash_evidence> drop(const digest& request);
+    const digest* weakest_suspect() const;
 
     suspect_settings settings_;
-    std::unordered_map<digest, suspect> suspects_;
+    std::unordered_map<digest, suspect_entry> suspects_;
     std::unordered_map<digest, instant> proven_;
-    /// The requests that ended well, the oldest first; one may stand in it several times.
+    /// Successful requests, oldest first; a request may appear several times.
     std::deque<proof> proven_order_;
 };
 
--- a/include/wrenswitch/decision/suspects/target_life.hpp
+++ b/include/wrenswitch/decision/suspects/target_life.hpp
@@ -6,14 +6,14 @@
 
 namespace wrenswitch {
 
-/// One life of a target: a run of its process.
-struct target_life {
+/// One incarnation of a target: the lifetime of one process.
+struct target_incarnation {
     std::string target;
-    /// When the process started, in Unix milliseconds by its own clock; zero if it doesn't say.
+    /// Start time of the process in Unix milliseconds by its own clock; zero if not reported.
     std::int64_t started = 0;
 
-    friend bool operator==(const target_life&, const target_life&) = default;
-    friend bool operator<(const target_life& left, const target_life& right) {
+    friend bool operator==(const target_incarnation&, const target_incarnation&) = default;
+    friend bool operator<(const target_incarnation& left, const target_incarnation& right) {
         return std::tie(left.target, left.started) < std::tie(right.target, right.started);
     }
 };
--- a/include/wrenswitch/drivers/suspect_log.hpp
+++ b/include/wrenswitch/drivers/suspect_log.hpp
@@ -16,15 +16,15 @@
 
 /// An end as a record of a keyed log, written by a host, and back from the record's key alone, so
 /// that a record that drops one can be read too. Nothing if the key isn't that of an end.
-keyed_record encode_suspect_end(const suspect_end& end, const std::string& host);
-std::optional<suspect_end> decode_suspect_end(const keyed_record& record);
+keyed_record encode_suspect_end(const crash_evidence& end, const std::string& host);
+std::optional<crash_evidence> decode_suspect_end(const keyed_record& record);
 
 /// What a log of suspects calls.
 struct suspect_log_hooks {
-    std::function<void(const suspect_end&)> added;
-    std::function<void(const suspect_end&)> dropped;
+    std::function<void(const crash_evidence&)> added;
+    std::function<void(const crash_evidence&)> dropped;
     /// These ends couldn't be written yet; told with each try.
-    std::function<void(std::span<const suspect_end>)> not_written;
+    std::function<void(std::span<const crash_evidence>)> not_written;
     std::function<void(bool reachable)> reachable;
 };
 
@@ -46,19 +46,19 @@
     bool reachable() const { return reachable_; }
 
     /// True if the log is known to have this end.
-    bool holds(const suspect_end& end) const { return held_.contains(end); }
+    bool holds(const crash_evidence& end) const { return held_.contains(end); }
 
     /// Wants these ends in the log, or out of it.
-    void add(std::span<const suspect_end> ends) { want(ends, true); }
-    void drop(std::span<const suspect_end> ends) { want(ends, false); }
+    void add(std::span<const crash_evidence> ends) { want(ends, true); }
+    void drop(std::span<const crash_evidence> ends) { want(ends, false); }
 
 private:
-    void want(std::span<const suspect_end> ends, bool in_log);
+    void want(std::span<const crash_evidence> ends, bool in_log);
     void changed(const keyed_record& record);
     void rewrite_lost(std::span<const std::string> lost);
     void append_if_due();
-    void tell_not_written(const std::map<suspect_end, bool>& tried) const;
-    void appended(const std::map<suspect_end, bool>& written, const result<std::uint64_t>& end);
+    void tell_not_written(const std::map<crash_evidence, bool>& tried) const;
+    void appended(const std::map<crash_evidence, bool>& written, const result<std::uint64_t>& end);
 
     event_loop& loop_;
     keyed_log& log_;
@@ -68,9 +68,9 @@
     suspect_log_hooks hooks_;
     keyed_follower follower_;
     /// The ends that the log has.
-    std::set<suspect_end> held_;
+    std::set<crash_evidence> held_;
     /// What is still to be written: true for ends that the log is to have.
-    std::map<suspect_end, bool> pending_;
+    std::map<crash_evidence, bool> pending_;
     bool reachable_ = true;
     bool appending_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/decision/rollout/answer_table.cpp
+++ b/src/decision/rollout/answer_table.cpp
@@ -6,59 +6,60 @@
 namespace wrenswitch {
 namespace {
 
-/// Fewer answers of the old version don't tell how long its slowest hundredth takes.
-constexpr double least_control_times = 30.0;
-/// The step between the bounds of two buckets of times.
+/// With fewer responses of the old version the latency of its slowest hundredth is unknown.
+constexpr double min_control_responses = 30.0;
+/// The factor between the bounds of adjacent latency buckets.
 constexpr double bucket_growth = 1.5;
-constexpr int last_bucket = static_cast<int>(time_counts::buckets) - 1;
+constexpr int last_bucket = static_cast<int>(latency_histogram::buckets) - 1;
 
-/// Bad versions fail from some percent to a third of their answers, which costs 1.7 nats of
-/// evidence at 5 of 100; old ones mostly near none, which costs 0.7 nats at none of 1,000.
-constexpr share_guess guess_of_failures{1.0, 4.0, 0.1, 1.0};
-/// So many answers' worth is known beforehand of the old version's share of slow ones: it is what
-/// was sought, but for the width of a bucket.
-constexpr double known_control = 20.0;
+/// Bad versions fail in some percent to a third of their responses; this prior costs 1.7 nats of
+/// evidence at 5 in 100. Old versions mostly have few failures; it costs 0.7 nats at none in 1,000.
+constexpr beta_priors failure_priors{1.0, 4.0, 0.1, 1.0};
+/// Weight of the prior of the control's slow share, in responses: the share is known in advance up
+/// to the width of a bucket.
+constexpr double control_prior_weight = 20.0;
 
-/// How many buckets a factor spans, rounded up, so that a version that is slower by less never
+/// The number of buckets that a factor spans, rounded up so that a version slower by less never
 /// looks slower.
-int buckets_of(double factor) {
+int bucket_span(double factor) {
     constexpr double rounding = 1e-9;
     return static_cast<int>(std::ceil(std::log(factor) / std::log(bucket_growth) - rounding));
 }
 
 }  // namespace
 
-answer_table::answer_table(std::span<const rollout_evidence> stretches) {
-    for (const rollout_evidence& stretch : stretches) {
-        add(stretch);
+response_statistics::response_statistics(std::span<const rollout_evidence> intervals) {
+    for (const rollout_evidence& interval : intervals) {
+        add(interval);
     }
-    for (route_sums& route : routes_) {
+    for (route_samples& route : routes_) {
         route.targets.resize(targets_.size());
     }
-    std::stable_sort(
-        routes_.begin(), routes_.end(),
-        [](const route_sums& left, const route_sums& right) { return left.route < right.route; });
+    std::stable_sort(routes_.begin(), routes_.end(),
+                     [](const route_samples& left, const route_samples& right) {
+                         return left.route < right.route;
+                     });
 }
 
-void answer_table::add(const rollout_evidence& stretch) {
+void response_statistics::add(const rollout_evidence& interval) {
     const std::string* current = nullptr;
-    for (const auto& [key, answers] : stretch.counts) {
+    for (const auto& [key, responses] : interval.counts) {
         if (current == nullptr || *current != key.route) {
             current = &key.route;
             routes_.push_back({key.route, {}, {}});
         }
-        route_sums& route = routes_.back();
+        route_samples& route = routes_.back();
         if (key.target.empty()) {
-            route.control = sums_of(answers);
+            route.control = samples_of(responses);
             continue;
         }
-        const std::size_t number = number_of(key.target);
-        route.targets.resize(std::max(route.targets.size(), number + 1));
-        route.targets[number] = sums_of(answers);
+        const std::size_t index = target_index(key.target);
+        route.targets.resize(std::max(route.targets.size(), index + 1));
+        route.targets[index] = samples_of(responses);
     }
 }
 
-std::size_t answer_table::number_of(const std::string& target) {
+std::size_t response_statistics::target_index(const std::string& target) {
     const auto found = std::find(targets_.begin(), targets_.end(), target);
     if (found != targets_.end()) {
         return static_cast<std::size_t>(found - targets_.begin());
@@ -67,132 +68,139 @@
     return targets_.size() - 1;
 }
 
-answer_table::sums answer_table::sums_of(const answer_counts& answers) {
-    return {{static_cast<double>(answers.badly), static_cast<double>(answers.well + answers.badly)},
-            tails_of(answers.first),
-            tails_of(answers.pace)};
+response_statistics::response_samples response_statistics::samples_of(
+    const response_counts& responses) {
+    return {{static_cast<double>(responses.failed),
+             static_cast<double>(responses.succeeded + responses.failed)},
+            tail_counts_of(responses.first_event),
+            tail_counts_of(responses.event_interval)};
 }
 
-answer_table::tail_counts answer_table::tails_of(const time_counts& times) {
+response_statistics::tail_counts response_statistics::tail_counts_of(
+    const latency_histogram& times) {
     tail_counts tails{};
-    for (std::size_t bucket = time_counts::buckets; bucket-- > 0;) {
+    for (std::size_t bucket = latency_histogram::buckets; bucket-- > 0;) {
         tails[bucket] = tails[bucket + 1] + times.counts()[bucket];
     }
     return tails;
 }
 
-/// The answers that took longer than a bucket's bound; all of them for a bucket before the first.
-double answer_table::beyond(const tail_counts& tails, int bucket) {
+/// The number of responses above a bucket's bound; all of them for a bucket before the first.
+double response_statistics::count_above(const tail_counts& tails, int bucket) {
     return tails[static_cast<std::size_t>(std::clamp(bucket + 1, 0, last_bucket + 1))];
 }
 
-/// The first bucket beyond whose bound, divided by the factor, no more than a share of the old
-/// version's answers lie; nothing if no later bucket counts what is slow.
-std::optional<int> answer_table::slow_from(const tail_counts& control, int shift, double level) {
+/// The first bucket whose bound, divided by the factor, is exceeded by at most a share `level` of
+/// the old version's responses; empty if no bucket above could count slow responses.
+std::optional<int> response_statistics::slow_bucket(const tail_counts& control, int shift,
+                                                    double level) {
     for (int bucket = 0; bucket < last_bucket; ++bucket) {
-        if (beyond(control, bucket - shift) <= level * control[0]) {
+        if (count_above(control, bucket - shift) <= level * control[0]) {
             return bucket;
         }
     }
     return std::nullopt;
 }
 
-std::vector<answer_table::route_answers> answer_table::routes() const {
-    std::vector<route_answers> result;
-    for (const route_sums& route : routes_) {
+std::vector<response_statistics::route_responses> response_statistics::routes() const {
+    std::vector<route_responses> result;
+    for (const route_samples& route : routes_) {
         if (result.empty() || result.back().route != route.route) {
             result.push_back({route.route});
         }
-        result.back().old_answers += route.control.failed.all;
-        for (const sums& target : route.targets) {
-            result.back().new_answers += target.failed.all;
+        result.back().old_responses += route.control.failed.total;
+        for (const response_samples& target : route.targets) {
+            result.back().new_responses += target.failed.total;
         }
     }
     return result;
 }
 
-std::vector<marked_scope> answer_table::failures() const {
-    std::vector<marked_scope> parts;
-    for (const route_sums& route : routes_) {
-        marked_scope part{
-            route.route, route.control.failed, route.control.failed, {}, guess_of_failures};
-        part.targets.reserve(route.targets.size());
-        for (const sums& target : route.targets) {
-            part.targets.push_back(target.failed);
+std::vector<route_comparison> response_statistics::failures() const {
+    std::vector<route_comparison> comparisons;
+    for (const route_samples& route : routes_) {
+        route_comparison comparison{
+            route.route, route.control.failed, route.control.failed, {}, failure_priors};
+        comparison.targets.reserve(route.targets.size());
+        for (const response_samples& target : route.targets) {
+            comparison.targets.push_back(target.failed);
         }
-        parts.push_back(std::move(part));
+        comparisons.push_back(std::move(comparison));
     }
-    return joined(std::move(parts));
+    return merge_by_route(std::move(comparisons));
 }
 
-std::vector<marked_scope> answer_table::slow(const slowness& kind) const {
-    const int shift = buckets_of(kind.factor);
-    const share_guess guess{1.0, 1.0, known_control * kind.level,
-                            known_control * (1.0 - kind.level)};
-    std::vector<marked_scope> parts;
-    for (const route_sums& route : routes_) {
-        const bool streams = route.control.pace[0] > 0.0;
-        const tail_counts& control = route.control.of(kind.time);
-        const std::optional<int> slow = slow_from(control, shift, kind.level);
-        if (control[0] < least_control_times || !slow || (streams && kind.plain_only)) {
+std::vector<route_comparison> response_statistics::slow(const slowness_criterion& criterion) const {
+    const int shift = bucket_span(criterion.factor);
+    const beta_priors priors{1.0, 1.0, control_prior_weight * criterion.level,
+                             control_prior_weight * (1.0 - criterion.level)};
+    std::vector<route_comparison> comparisons;
+    for (const route_samples& route : routes_) {
+        const bool streams = route.control.event_interval[0] > 0.0;
+        const tail_counts& control = route.control.of(criterion.latency);
+        const std::optional<int> slow = slow_bucket(control, shift, criterion.level);
+        if (control[0] < min_control_responses || !slow || (streams && criterion.skip_streams)) {
             continue;
         }
-        const answer_share counted{beyond(control, *slow - shift), control[0]};
-        marked_scope part{route.route, counted, counted, {}, guess};
-        part.targets.reserve(route.targets.size());
-        for (const sums& target : route.targets) {
-            const tail_counts& times = target.of(kind.time);
-            const double marked = beyond(times, *slow);
-            const double cold = streams ? std::min(marked, kind.cold_streams) : 0.0;
-            part.targets.push_back({marked - cold, times[0] - cold});
+        const sample_proportion raw{count_above(control, *slow - shift), control[0]};
+        route_comparison comparison{route.route, raw, raw, {}, priors};
+        comparison.targets.reserve(route.targets.size());
+        for (const response_samples& target : route.targets) {
+            const tail_counts& times = target.of(criterion.latency);
+            const double flagged = count_above(times, *slow);
+            const double cold_count =
+                streams ? std::min(flagged, criterion.max_cold_responses) : 0.0;
+            comparison.targets.push_back({flagged - cold_count, times[0] - cold_count});
         }
-        parts.push_back(std::move(part));
+        comparisons.push_back(std::move(comparison));
     }
-    return joined(std::move(parts));
+    return merge_by_route(std::move(comparisons));
 }
 
-/// Several parts together, with the control weighted by the new version's answers in each. It
-/// counts as many answers as a control without parts that is as sure.
-marked_scope answer_table::pooled(std::span<const marked_scope> parts) {
-    marked_scope result;
-    result.guess = parts.front().guess;
-    result.targets.resize(parts.front().targets.size());
+/// Pools comparisons, with the control weighted by the new version's responses in each. The size of
+/// the pooled control is that of an unpooled one with the same variance.
+route_comparison response_statistics::pool(std::span<const route_comparison> comparisons) {
+    route_comparison result;
+    result.priors = comparisons.front().priors;
+    result.targets.resize(comparisons.front().targets.size());
     double expected = 0.0;
-    double answers = 0.0;
-    double unsure = 0.0;
-    for (const marked_scope& part : parts) {
-        const double fresh = part.fresh().all;
-        expected += fresh * part.control.value();
-        answers += fresh;
-        result.counted.add(part.counted);
-        unsure += fresh * fresh / part.control.all;
-        for (std::size_t target = 0; target < part.targets.size(); ++target) {
-            result.targets[target].add(part.targets[target]);
+    double responses = 0.0;
+    double variance_weight = 0.0;
+    for (const route_comparison& comparison : comparisons) {
+        const double treatment_total = comparison.treatment().total;
+        expected += treatment_total * comparison.control.value();
+        responses += treatment_total;
+        result.raw_control.add(comparison.raw_control);
+        variance_weight += treatment_total * treatment_total / comparison.control.total;
+        for (std::size_t target = 0; target < comparison.targets.size(); ++target) {
+            result.targets[target].add(comparison.targets[target]);
         }
     }
-    const double control = answers * answers / unsure;
-    result.control = {control * expected / answers, control};
+    const double control = responses * responses / variance_weight;
+    result.control = {control * expected / responses, control};
     return result;
 }
 
-/// The parts of each route as one scope.
-std::vector<marked_scope> answer_table::joined(std::vector<marked_scope> parts) {
-    std::erase_if(parts, [](const marked_scope& part) {
-        return part.control.all <= 0.0 || part.fresh().all <= 0.0;
+/// Pools the intervals of each route, and adds a comparison of all routes in front if there are
+/// several.
+std::vector<route_comparison> response_statistics::merge_by_route(
+    std::vector<route_comparison> comparisons) {
+    std::erase_if(comparisons, [](const route_comparison& comparison) {
+        return comparison.control.total <= 0.0 || comparison.treatment().total <= 0.0;
     });
-    std::vector<marked_scope> scopes;
-    for (auto begin = parts.begin(); begin != parts.end();) {
-        const auto end = std::find_if(begin, parts.end(), [&](const marked_scope& part) {
-            return part.route != begin->route;
-        });
-        scopes.push_back(end - begin == 1 ? *begin : pooled({begin, end}));
-        scopes.back().route = begin->route;
+    std::vector<route_comparison> merged;
+    for (auto begin = comparisons.begin(); begin != comparisons.end();) {
+        const auto end = std::find_if(
+            begin, comparisons.end(),
+            [&](const route_comparison& comparison) { return comparison.route != begin->route; });
+        merged.push_back(end - begin == 1 ? *begin : pool({begin, end}));
+        merged.back().route = begin->route;
         begin = end;
     }
-    if (scopes.size() > 1) {
-        scopes.insert(scopes.begin(), pooled(parts));
+    if (merged.size() > 1) {
+        merged.insert(merged.begin(), pool(comparisons));
     }
-    return scopes;
+    return merged;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/answer_table.hpp
+++ b/src/decision/rollout/answer_table.hpp
@@ -12,88 +12,90 @@
 
 namespace wrenswitch {
 
-/// Which of the two times of an answer.
-enum class answer_time { first, pace };
+/// Which latency of a response.
+enum class latency_kind { first_event, event_interval };
 
-/// What makes an answer slow: it took longer than `factor` times what all but `level` of the old
-/// version's answers by its route took.
-struct slowness {
-    answer_time time = answer_time::first;
+/// Defines slow responses: slower than `factor` times the latency that a share `level` of the old
+/// version's responses on the route exceed.
+struct slowness_criterion {
+    latency_kind latency = latency_kind::first_event;
     double factor = 2.0;
     double level = 0.01;
-    /// How many slow answers of each target aren't counted on routes of streams, since its caches
-    /// were empty.
-    double cold_streams = 0.0;
-    /// True if routes of streams aren't looked at.
-    bool plain_only = false;
+    /// The number of slow responses per target that are ignored on stream routes because of cold
+    /// caches.
+    double max_cold_responses = 0.0;
+    /// True to ignore stream routes.
+    bool skip_streams = false;
 };
 
-/// How many of the old version's answers may take longer than what counts as normal: 0.5 shows best
-/// a version of which all answers are slower, 0.01 one of which a part is.
+/// The shares of the old version's responses that may exceed the normal latency: 0.5 is best at
+/// detecting versions that are slower in all responses, 0.01 those that are slower in a part of
+/// them.
 inline constexpr std::array slowness_levels{0.5, 0.2, 0.05, 0.01};
 
-/// So many answers of each target may be slow for empty caches and aren't counted where answers are
-/// streams, whose prompts are read from nothing at first. What is plain has no caches of prompts:
-/// with 4 not counted, of 200 versions that are 4 times slower 150 would be found within 24 s at
-/// 124 requests/s, with none 196 are.
-inline constexpr double cold_answers = 20.0;
+/// The number of slow responses per target that are attributed to cold prompt caches on stream
+/// routes. Plain responses use no prompt cache and have no allowance: with 4 ignored there, 150
+/// instead of 196 of 200 versions that are 4 times slower would be detected within 24 s at 124
+/// requests/s.
+inline constexpr double cold_cache_allowance = 20.0;
 
-/// A roll-out's evidence as sums that many tests can be made of: it is asked for some forty kinds
-/// of marks in one judgement.
-class answer_table {
+/// The evidence of a rollout in a form that many tests can be run on: one evaluation uses about
+/// forty kinds of flags.
+class response_statistics {
 public:
-    /// Of several stretches of time, in each of which the new version's part of the answers was the
-    /// same: what changed from one to the other, for both versions, isn't taken for the version's.
-    explicit answer_table(std::span<const rollout_evidence> stretches);
-
-    /// The routes that both versions answered, and, if they are several, all of them together in
-    /// front.
-    std::vector<marked_scope> failures() const;
-    std::vector<marked_scope> slow(const slowness& kind) const;
-
-    /// How many answers each version gave by a route.
-    struct route_answers {
+    /// Takes several intervals, in each of which the new version's share of the traffic was
+    /// constant. Changes from one interval to the next that affect both versions aren't attributed
+    /// to the new one.
+    explicit response_statistics(std::span<const rollout_evidence> intervals);
+
+    /// One comparison for each route that both versions have responses on, preceded by one of all
+    /// routes together if there are several.
+    std::vector<route_comparison> failures() const;
+    std::vector<route_comparison> slow(const slowness_criterion& criterion) const;
+
+    /// The number of responses of each version on a route.
+    struct route_responses {
         std::string route;
-        double old_answers = 0.0;
-        double new_answers = 0.0;
+        double old_responses = 0.0;
+        double new_responses = 0.0;
     };
-    std::vector<route_answers> routes() const;
+    std::vector<route_responses> routes() const;
 
     const std::string& target_name(std::size_t target) const { return targets_[target]; }
 
 private:
-    /// For each bucket, the answers in it and in all later ones.
-    using tail_counts = std::array<double, time_counts::buckets + 1>;
+    /// For each bucket the number of responses in it and in all later ones.
+    using tail_counts = std::array<double, latency_histogram::buckets + 1>;
 
-    struct sums {
-        answer_share failed;
-        tail_counts first{};
-        tail_counts pace{};
+    struct response_samples {
+        sample_proportion failed;
+        tail_counts first_event{};
+        tail_counts event_interval{};
 
-        const tail_counts& of(answer_time time) const {
-            return time == answer_time::first ? first : pace;
+        const tail_counts& of(latency_kind latency) const {
+            return latency == latency_kind::first_event ? first_event : event_interval;
         }
     };
 
-    /// Of one route in one stretch.
-    struct route_sums {
+    /// The samples of one route in one interval.
+    struct route_samples {
         std::string route;
-        sums control;
-        std::vector<sums> targets;
+        response_samples control;
+        std::vector<response_samples> targets;
     };
 
-    static sums sums_of(const answer_counts& answers);
-    static tail_counts tails_of(const time_counts& times);
-    static double beyond(const tail_counts& tails, int bucket);
-    static std::optional<int> slow_from(const tail_counts& control, int shift, double level);
-    static marked_scope pooled(std::span<const marked_scope> parts);
-    static std::vector<marked_scope> joined(std::vector<marked_scope> parts);
+    static response_samples samples_of(const response_counts& responses);
+    static tail_counts tail_counts_of(const latency_histogram& times);
+    static double count_above(const tail_counts& tails, int bucket);
+    static std::optional<int> slow_bucket(const tail_counts& control, int shift, double level);
+    static route_comparison pool(std::span<const route_comparison> comparisons);
+    static std::vector<route_comparison> merge_by_route(std::vector<route_comparison> comparisons);
 
-    void add(const rollout_evidence& stretch);
-    std::size_t number_of(const std::string& target);
+    void add(const rollout_evidence& interval);
+    std::size_t target_index(const std::string& target);
 
     std::vector<std::string> targets_;
-    std::vector<route_sums> routes_;
+    std::vector<route_samples> routes_;
 };
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/badness.hpp
+++ b/src/decision/rollout/badness.hpp
@@ -11,44 +11,45 @@
 
 namespace wrenswitch {
 
-/// Asks whether a version's answers show that it is bad, with a stated chance that a good version's
-/// ever do. A target that differs from the others is no fault of the version: whichever of its
-/// targets is left out, the others must show it.
-class badness {
+/// Decides whether the responses of a version show a regression, with a given error rate for good
+/// versions. A regression must also show with any single target left out, as one differing target
+/// isn't a fault of the version.
+class regression_check {
 public:
-    /// The settings must live as long.
-    badness(const rollout_judge::settings& settings, double stress)
-        : settings_(settings), stress_(stress) {}
+    /// `settings` must outlive this object.
+    regression_check(const rollout_evaluator::settings& settings, double load_ratio)
+        : settings_(settings), load_ratio_(load_ratio) {}
 
-    /// What shows it, if anything does.
-    std::optional<std::string> shown_by(const answer_table& answers) const;
+    /// A description of the regression, if there is one.
+    std::optional<std::string> find(const response_statistics& responses) const;
 
 private:
-    /// Bad answers that the old version's share doesn't explain.
-    struct bad_number {
+    /// Bad responses beyond the old version's share.
+    struct bad_count {
         double all = 0.0;
-        /// Those that aren't of the target with the most.
+        /// The same without the target that has the most.
         double without_worst = 0.0;
         std::size_t targets = 0;
 
-        void take_larger(const bad_number& other) {
+        void update_max(const bad_count& other) {
             all = std::max(all, other.all);
             without_worst = std::max(without_worst, other.without_worst);
         }
     };
 
-    /// The last resort: so many bad answers that it doesn't matter what explains them.
-    std::optional<std::string> shown_by_number(const answer_table& answers) const;
-    bad_number number_in(const std::vector<marked_scope>& scopes) const;
-    /// One kind of mark, of which a good version is taken for bad with no more than this chance,
-    /// and that bad versions have more often by more than the tolerance.
-    std::optional<std::string> shown_by_shares(const std::vector<marked_scope>& scopes,
-                                               double wrongly, double tolerance,
-                                               const std::string& marks) const;
-    bool shows(const marked_scope& scope, double wrongly, double tolerance) const;
-
-    const rollout_judge::settings& settings_;
-    double stress_;
+    /// The last resort: too many bad responses, whatever the reason.
+    std::optional<std::string> find_by_count(const response_statistics& responses) const;
+    bad_count count_bad(const std::vector<route_comparison>& comparisons) const;
+    /// Tests one kind of flag, with at most this error rate for good versions; a bad version
+    /// exceeds the control's share by more than `tolerance`.
+    std::optional<std::string> find_by_proportion(const std::vector<route_comparison>& comparisons,
+                                                  double false_positive_rate, double tolerance,
+                                                  const std::string& flag) const;
+    bool is_regression(const route_comparison& comparison, double false_positive_rate,
+                       double tolerance) const;
+
+    const rollout_evaluator::settings& settings_;
+    double load_ratio_;
 };
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/goodness.cpp
+++ b/src/decision/rollout/goodness.cpp
@@ -9,151 +9,166 @@
 namespace wrenswitch {
 namespace {
 
-/// The least excess of failures that a good verdict should rule out.
-constexpr double sought_excess = 0.05;
-/// With fewer answers nothing is held of a version: 16 without a failure rule out 22% failures.
-constexpr double least_answers = 16.0;
-/// A version with a single target that answers isn't held for good before so many answers: by then
-/// its other targets would have had their turn.
-constexpr double least_of_single_target = 20.0;
-/// A route with a smaller share of the old version's answers isn't waited for.
-constexpr double notable_share = 0.05;
-/// Of the answers that a route should have had by its share, so large a part must have come; at
-/// least one, and no more than ten are waited for. At 7 expected, one in 1,000 has none.
-constexpr double wanted_part = 0.25;
-constexpr double most_wanted = 10.0;
-/// The share of good versions that have more failures than is borne here and come late for it.
-constexpr double wrongly_doubted = 0.008;
-/// Nor is a version that so much more likely fails in 5% more than as often as the old one: at 0.2%
-/// failures of the old one, one failure of 31 is borne, two are of 110, and 2% of good versions
-/// at 124 requests/s and 8 s come late for it.
-constexpr double doubted_odds = 10.0;
-/// A version that is slower by this or more isn't held for good.
-constexpr double doubted_slowness = 1.5;
-/// So much evidence that a version is slower by that speaks against it.
-constexpr double doubted_evidence = 5.0;
-/// The evidence that a target differs from the others of its version, so that it is left out.
-constexpr double odd_target = 6.0;
-/// The least by which its share of marks is larger than the others'.
-constexpr double odd_excess = 0.02;
+/// The excess of failures that a good result should rule out.
+constexpr double detectable_excess = 0.05;
+/// The responses required for a good result: 16 without a failure rule out 22% failures.
+constexpr double min_responses = 16.0;
+/// The responses required if only a single target of the version has responded: with as many, its
+/// other targets would have had their turn.
+constexpr double min_single_target_responses = 20.0;
+/// Routes with a smaller share of the old version's responses aren't waited for.
+constexpr double min_route_traffic_share = 0.05;
+/// The fraction of the responses expected on a route, by its share of the traffic, that must have
+/// arrived: at least one and at most ten. At 7 expected, one route in 1,000 has none.
+constexpr double min_response_fraction = 0.25;
+constexpr double max_required_responses = 10.0;
+/// The share of good versions that exceed the failures tolerated here and therefore complete late.
+constexpr double false_doubt_rate = 0.008;
+/// Reject a version that is this many times likelier to fail in 5% more of its responses than as
+/// often as the old one. With 0.2% failures of the old version, one failure in 31 responses is
+/// tolerated and two in 110, and 2% of good versions complete late at 124 requests/s and 8 s.
+constexpr double doubt_likelihood_ratio = 10.0;
+/// A version that is slower by this factor or more isn't accepted.
+constexpr double doubt_slowdown = 1.5;
+/// The e-value for such a slowdown that rejects a version.
+constexpr double doubt_e_value = 5.0;
+/// The e-value for a target being worse than the others of its version that excludes it.
+constexpr double outlier_e_value = 6.0;
+/// The smallest difference between its share and that of the others that counts.
+constexpr double min_outlier_excess = 0.02;
 
-/// The old version's share, as if one more answer had come and failed: none of some hundred doesn't
-/// mean never.
-double careful_share(const marked_scope& scope) {
-    return std::max(scope.control.value(),
-                    (scope.counted.marked + 1.0) / (scope.counted.all + 1.0));
+/// The old version's share as if one more response had failed: none in a hundred doesn't mean
+/// never.
+double conservative_control_share(const route_comparison& comparison) {
+    return std::max(comparison.control.value(),
+                    (comparison.raw_control.flagged + 1.0) / (comparison.raw_control.total + 1.0));
 }
 
-/// Leaves out, in all scopes, the one target that differs from the others, if one does.
-std::optional<std::size_t> leave_out_odd_target(std::vector<marked_scope>& scopes,
-                                                std::size_t least_targets) {
-    if (scopes.empty() || scopes.front().targets_with_answers() <= least_targets) {
+/// Excludes the one target that differs from the others, if there is one, from all comparisons.
+std::optional<std::size_t> exclude_outlier_target(std::vector<route_comparison>& comparisons,
+                                                  std::size_t min_targets) {
+    if (comparisons.empty() || comparisons.front().targets_with_responses() <= min_targets) {
         return std::nullopt;
     }
-    const marked_scope& all = scopes.front();
-    const std::optional<std::size_t> worst = all.worst_target();
-    if (!worst || !all.bore_as_others(*worst)) {
+    const route_comparison& overall = comparisons.front();
+    const std::optional<std::size_t> worst = overall.worst_target();
+    if (!worst || !overall.has_comparable_load(*worst)) {
         return std::nullopt;
     }
-    const answer_share odd = all.targets[*worst];
-    const answer_share others = all.fresh().without(odd);
-    if (log_evidence_of_excess(odd, others, odd_excess, all.guess) < std::log(odd_target)) {
+    const sample_proportion outlier = overall.targets[*worst];
+    const sample_proportion others = overall.treatment().without(outlier);
+    if (log_e_value(outlier, others, min_outlier_excess, overall.priors) <
+        std::log(outlier_e_value)) {
         return std::nullopt;
     }
-    for (marked_scope& scope : scopes) {
-        scope.targets[*worst] = {};
+    for (route_comparison& comparison : comparisons) {
+        comparison.targets[*worst] = {};
     }
     return worst;
 }
 
 }  // namespace
 
-goodness::answer goodness::ask(const answer_table& answers) const {
-    std::vector<marked_scope> failures = answers.failures();
-    if (std::string unknown = missing(failures); !unknown.empty()) {
-        return {false, std::move(unknown)};
+acceptance_check::result acceptance_check::check(const response_statistics& responses) const {
+    std::vector<route_comparison> failures = responses.failures();
+    if (std::string missing = find_missing_data(failures); !missing.empty()) {
+        return {false, std::move(missing)};
     }
-    const double all_answers = failures.front().fresh().all;
-    if (std::string unknown = missing_route(answers, all_answers); !unknown.empty()) {
-        return {false, std::move(unknown)};
+    const double total_responses = failures.front().treatment().total;
+    if (std::string missing = find_missing_route(responses, total_responses); !missing.empty()) {
+        return {false, std::move(missing)};
     }
-    const std::optional<std::size_t> odd = leave_out_odd_target(failures, settings_.least_targets);
-    if (std::string doubt = doubted_by_failures(failures); !doubt.empty()) {
-        return {false, std::move(doubt)};
+    const std::optional<std::size_t> outlier =
+        exclude_outlier_target(failures, settings_.min_targets);
+    if (std::string problem = find_excess_failures(failures); !problem.empty()) {
+        return {false, std::move(problem)};
     }
-    if (std::string doubt = doubted_by_slowness(answers); !doubt.empty()) {
-        return {false, std::move(doubt)};
+    if (std::string problem = find_slowdown(responses); !problem.empty()) {
+        return {false, std::move(problem)};
     }
-    const marked_scope& all = failures.front();
-    std::ostringstream text;
-    text.precision(3);
-    text << all.text("failed") << ": rules out "
-         << ruled_out_excess(all.fresh(), all.control.value(), settings_.wrongly_good) * 100.0
-         << "% more failures";
-    if (odd) {
-        text << "; left out target " << answers.target_name(*odd) << ", which differs";
+    const route_comparison& overall = failures.front();
+    std::ostringstream output;
+    output.precision(3);
+    output << overall.describe("failed") << ": rules out "
+           << excess_upper_bound(overall.treatment(), overall.control.value(),
+                                 settings_.false_good_rate) *
+                  100.0
+           << "% more failures";
+    if (outlier) {
+        output << "; left out target " << responses.target_name(*outlier) << ", which differs";
     }
-    return {true, text.str()};
+    return {true, output.str()};
 }
 
-std::string goodness::missing(const std::vector<marked_scope>& failures) const {
+std::string acceptance_check::find_missing_data(
+    const std::vector<route_comparison>& failures) const {
     if (failures.empty()) {
         return "no route has answers of both versions";
     }
-    const marked_scope& all = failures.front();
-    const double answers = all.fresh().all;
-    const bool few_targets = all.targets_with_answers() < settings_.least_targets;
-    if (answers < (few_targets ? least_of_single_target : least_answers)) {
-        return "too few answers: " + std::to_string(std::lround(answers));
+    const route_comparison& overall = failures.front();
+    const double responses = overall.treatment().total;
+    const bool few_targets = overall.targets_with_responses() < settings_.min_targets;
+    if (responses < (few_targets ? min_single_target_responses : min_responses)) {
+        return "too few answers: " + std::to_string(std::lround(responses));
     }
     return {};
 }
 
-std::string goodness::missing_route(const answer_table& answers, double all) {
-    double old = 0.0;
-    for (const auto& route : answers.routes()) {
-        old += route.old_answers;
+std::string acceptance_check::find_missing_route(const response_statistics& responses,
+                                                 double total_responses) {
+    double old_total = 0.0;
+    for (const auto& route : responses.routes()) {
+        old_total += route.old_responses;
     }
-    for (const auto& route : answers.routes()) {
-        const double share = route.old_answers / old;
-        const double wanted = std::clamp(std::floor(all * share * wanted_part), 1.0, most_wanted);
-        if (share >= notable_share && route.new_answers < wanted) {
+    for (const auto& route : responses.routes()) {
+        const double share = route.old_responses / old_total;
+        const double required =
+            std::clamp(std::floor(total_responses * share * min_response_fraction), 1.0,
+                       max_required_responses);
+        if (share >= min_route_traffic_share && route.new_responses < required) {
             return "too few answers on route " + route.route + ": " +
-                   std::to_string(std::lround(route.new_answers));
+                   std::to_string(std::lround(route.new_responses));
         }
     }
     return {};
 }
 
-std::string goodness::doubted_by_failures(const std::vector<marked_scope>& scopes) const {
-    const auto count = static_cast<double>(scopes.size());
-    for (const marked_scope& scope : scopes) {
-        const answer_share fresh = scope.fresh();
-        const double control = careful_share(scope);
-        const double parts = count < 2.0 ? 1.0 : scope.route.empty() ? 2.0 : 2.0 * (count - 1.0);
+std::string acceptance_check::find_excess_failures(
+    const std::vector<route_comparison>& comparisons) const {
+    const auto comparison_count = static_cast<double>(comparisons.size());
+    for (const route_comparison& comparison : comparisons) {
+        const sample_proportion treatment = comparison.treatment();
+        const double control = conservative_control_share(comparison);
+        const double rate_divisor = comparison_count < 2.0     ? 1.0
+                                    : comparison.route.empty() ? 2.0
+                                                               : 2.0 * (comparison_count - 1.0);
         const bool unlikely =
-            fresh.marked > most_by_chance(fresh.all, control, wrongly_doubted / parts) &&
-            ruled_out_excess(fresh, control, settings_.wrongly_good) > sought_excess;
-        const double odds =
-            log_likelihood(fresh, control + sought_excess) - log_likelihood(fresh, control);
-        if (unlikely || odds > std::log(doubted_odds * parts)) {
-            return scope.text("failed") + ": more than chance explains";
+            treatment.flagged >
+                binomial_quantile(treatment.total, control, false_doubt_rate / rate_divisor) &&
+            excess_upper_bound(treatment, control, settings_.false_good_rate) > detectable_excess;
+        const double log_likelihood_ratio = log_likelihood(treatment, control + detectable_excess) -
+                                            log_likelihood(treatment, control);
+        if (unlikely || log_likelihood_ratio > std::log(doubt_likelihood_ratio * rate_divisor)) {
+            return comparison.describe("failed") + ": more than chance explains";
         }
     }
     return {};
 }
 
-std::string goodness::doubted_by_slowness(const answer_table& answers) const {
-    slowness first{answer_time::first, doubted_slowness * stress_, 0.0, cold_answers};
-    slowness pace{answer_time::pace, doubted_slowness * stress_};
-    for (slowness* kind : {&first, &pace}) {
+std::string acceptance_check::find_slowdown(const response_statistics& responses) const {
+    slowness_criterion first_event{latency_kind::first_event, doubt_slowdown * load_ratio_, 0.0,
+                                   cold_cache_allowance};
+    slowness_criterion event_interval{latency_kind::event_interval, doubt_slowdown * load_ratio_};
+    for (slowness_criterion* criterion : {&first_event, &event_interval}) {
         for (const double level : slowness_levels) {
-            kind->level = level;
-            std::vector<marked_scope> scopes = answers.slow(*kind);
-            leave_out_odd_target(scopes, settings_.least_targets);
-            for (const marked_scope& scope : scopes) {
-                if (scope.log_evidence(scope.fresh(), 0.0) >= std::log(doubted_evidence)) {
-                    return scope.text(kind == &first ? "began late" : "went on slowly");
+            criterion->level = level;
+            std::vector<route_comparison> comparisons = responses.slow(*criterion);
+            exclude_outlier_target(comparisons, settings_.min_targets);
+            for (const route_comparison& comparison : comparisons) {
+                if (comparison.log_evidence(comparison.treatment(), 0.0) >=
+                    std::log(doubt_e_value)) {
+                    return comparison.describe(criterion == &first_event ? "began late"
+                                                                         : "went on slowly");
                 }
             }
         }
--- a/src/decision/rollout/goodness.hpp
+++ b/src/decision/rollout/goodness.hpp
@@ -8,33 +8,34 @@
 
 namespace wrenswitch {
 
-/// Asks whether a version that isn't bad may be held for good. That takes less evidence than it
-/// takes to hold it for bad to speak against it: in doubt the old version goes on.
-class goodness {
+/// Decides whether a version without a detected regression may be accepted as good. Less evidence
+/// is needed to reject it here than to detect a regression: in doubt the old version keeps serving.
+class acceptance_check {
 public:
-    struct answer {
-        bool good = false;
-        /// What speaks against it, or what a good verdict rules out.
+    struct result {
+        bool accepted = false;
+        /// Why the version isn't accepted, or the bound that an accepted version keeps.
         std::string reason;
     };
 
-    /// The settings must live as long.
-    goodness(const rollout_judge::settings& settings, double stress)
-        : settings_(settings), stress_(stress) {}
+    /// `settings` must outlive this object.
+    acceptance_check(const rollout_evaluator::settings& settings, double load_ratio)
+        : settings_(settings), load_ratio_(load_ratio) {}
 
-    answer ask(const answer_table& answers) const;
+    result check(const response_statistics& responses) const;
 
 private:
-    /// What is still unknown; empty if enough is known.
-    std::string missing(const std::vector<marked_scope>& failures) const;
-    /// The route of which too little is known, beside so many answers of all.
-    static std::string missing_route(const answer_table& answers, double all);
-    /// The first scope with more failures than a good version's; empty if there is none.
-    std::string doubted_by_failures(const std::vector<marked_scope>& scopes) const;
-    std::string doubted_by_slowness(const answer_table& answers) const;
-
-    const rollout_judge::settings& settings_;
-    double stress_;
+    /// What evidence is missing; empty if there is enough.
+    std::string find_missing_data(const std::vector<route_comparison>& failures) const;
+    /// The first route with too few of the `total_responses`; empty if there is none.
+    static std::string find_missing_route(const response_statistics& responses,
+                                          double total_responses);
+    /// The first comparison with too many failures for a good version; empty if there is none.
+    std::string find_excess_failures(const std::vector<route_comparison>& comparisons) const;
+    std::string find_slowdown(const response_statistics& responses) const;
+
+    const rollout_evaluator::settings& settings_;
+    double load_ratio_;
 };
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/marked_scope.cpp
+++ b/src/decision/rollout/marked_scope.cpp
@@ -5,58 +5,60 @@
 
 namespace wrenswitch {
 
-answer_share marked_scope::fresh() const {
-    answer_share sum;
-    for (const answer_share& share : targets) {
-        sum.add(share);
+sample_proportion route_comparison::treatment() const {
+    sample_proportion sum;
+    for (const sample_proportion& sample : targets) {
+        sum.add(sample);
     }
     return sum;
 }
 
-std::size_t marked_scope::targets_with_answers() const {
-    const auto count = std::count_if(targets.begin(), targets.end(),
-                                     [](const answer_share& share) { return share.all > 0.0; });
+std::size_t route_comparison::targets_with_responses() const {
+    const auto count =
+        std::count_if(targets.begin(), targets.end(),
+                      [](const sample_proportion& sample) { return sample.total > 0.0; });
     return static_cast<std::size_t>(count);
 }
 
-double marked_scope::excess() const {
-    const answer_share all = fresh();
-    return all.marked - all.all * control.value();
+double route_comparison::excess_count() const {
+    const sample_proportion sum = treatment();
+    return sum.flagged - sum.total * control.value();
 }
 
-std::optional<std::size_t> marked_scope::worst_target() const {
+std::optional<std::size_t> route_comparison::worst_target() const {
     std::optional<std::size_t> worst;
     double most = 0.0;
     for (std::size_t target = 0; target < targets.size(); ++target) {
-        const double over = targets[target].marked - targets[target].all * control.value();
-        if (over > most) {
-            most = over;
+        const double excess = targets[target].flagged - targets[target].total * control.value();
+        if (excess > most) {
+            most = excess;
             worst = target;
         }
     }
     return worst;
 }
 
-bool marked_scope::bore_as_others(std::size_t target) const {
-    // One that has all of the canary for a fifth of the time has twice the answers of three others.
-    constexpr double about = 0.65;
-    const double least = about * targets[target].all;
+bool route_comparison::has_comparable_load(std::size_t target) const {
+    // A target that gets all canary traffic for a fifth of the time has twice as many responses as
+    // each of three others.
+    constexpr double min_load_ratio = 0.65;
+    const double min_responses = min_load_ratio * targets[target].total;
     for (std::size_t other = 0; other < targets.size(); ++other) {
-        if (other != target && targets[other].all >= least) {
+        if (other != target && targets[other].total >= min_responses) {
             return true;
         }
     }
     return false;
 }
 
-std::string marked_scope::text(const std::string& marks) const {
-    const answer_share all = fresh();
-    std::ostringstream text;
-    text.precision(3);
-    text << all.marked << " of " << all.all << " " << marks << " on "
-         << (route.empty() ? "all routes" : "route " + route) << ", old version "
-         << control.value() * 100.0 << "%";
-    return text.str();
+std::string route_comparison::describe(const std::string& flag) const {
+    const sample_proportion sum = treatment();
+    std::ostringstream output;
+    output.precision(3);
+    output << sum.flagged << " of " << sum.total << " " << flag << " on "
+           << (route.empty() ? "all routes" : "route " + route) << ", old version "
+           << control.value() * 100.0 << "%";
+    return output.str();
 }
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/marked_scope.hpp
+++ b/src/decision/rollout/marked_scope.hpp
@@ -9,36 +9,37 @@
 
 namespace wrenswitch {
 
-/// One route's answers, or all routes', of which some have one kind of mark.
-struct marked_scope {
-    /// The route; empty for all of them together.
+/// Compares the responses of both versions on one route, or on all routes together, for one kind of
+/// flag, such as failed or slow.
+struct route_comparison {
+    /// The route; empty for all routes together.
     std::string route;
-    /// The old version's: for all routes together as if its answers came by the routes in the new
-    /// one's proportions, so that a route that fails often for both versions weighs the same in
-    /// both.
-    answer_share control;
-    /// The old version's as they came.
-    answer_share counted;
-    /// The new version's, by the target's number in the table; some have no answers.
-    std::vector<answer_share> targets;
-    share_guess guess;
+    /// The old version's sample. For all routes together it is reweighted to the new version's mix
+    /// of routes, so that a route that fails often for both versions has the same weight in both.
+    sample_proportion control;
+    /// The old version's sample without reweighting.
+    sample_proportion raw_control;
+    /// The new version's samples by target index of response_statistics; targets without responses
+    /// have empty ones.
+    std::vector<sample_proportion> targets;
+    beta_priors priors;
 
-    answer_share fresh() const;
-    std::size_t targets_with_answers() const;
-    /// How surely these answers have more marks than the control's, by more than the tolerance; as
-    /// log_evidence_of_excess.
-    double log_evidence(const answer_share& answers, double tolerance) const {
-        return log_evidence_of_excess(answers, control, tolerance, guess);
+    sample_proportion treatment() const;
+    std::size_t targets_with_responses() const;
+    /// The log of the e-value for a share of flags in `sample` that exceeds the control's by more
+    /// than `tolerance`, as in log_e_value.
+    double log_evidence(const sample_proportion& sample, double tolerance) const {
+        return log_e_value(sample, control, tolerance, priors);
     }
-    /// The marks beyond what the control's share explains.
-    double excess() const;
-    /// The target with the most marks beyond what the control's share explains, if one has any.
+    /// The number of flagged responses beyond the control's share.
+    double excess_count() const;
+    /// The target with the most flagged responses beyond the control's share, if any exceeds it.
     std::optional<std::size_t> worst_target() const;
-    /// True if another target had about as many answers as this one, or more: what it shows isn't
-    /// what only its load does.
-    bool bore_as_others(std::size_t target) const;
-    /// In words, for the log.
-    std::string text(const std::string& marks) const;
+    /// True if another target had about as many responses as this one, or more, so that its flags
+    /// aren't explained by its load alone.
+    bool has_comparable_load(std::size_t target) const;
+    /// A description for the log; `flag` says what the flagged responses did.
+    std::string describe(const std::string& flag) const;
 };
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/rollout_evidence.cpp
+++ b/src/decision/rollout/rollout_evidence.cpp
@@ -6,50 +6,51 @@
 namespace wrenswitch {
 namespace {
 
-constexpr double growth = 1.5;
+constexpr double bucket_growth = 1.5;
 
-std::array<double, time_counts::buckets> bounds() {
-    std::array<double, time_counts::buckets> result{};
+std::array<double, latency_histogram::buckets> bounds() {
+    std::array<double, latency_histogram::buckets> result{};
     double bound = 1.0;
-    for (double& each : result) {
-        each = bound;
-        bound *= growth;
+    for (double& value : result) {
+        value = bound;
+        bound *= bucket_growth;
     }
     return result;
 }
 
-const std::array<double, time_counts::buckets>& all_bounds_ms() {
-    static const std::array<double, time_counts::buckets> result = bounds();
+const std::array<double, latency_histogram::buckets>& all_bounds_ms() {
+    static const std::array<double, latency_histogram::buckets> result = bounds();
     return result;
 }
 
 }  // namespace
 
-std::size_t time_counts::bucket_of(microseconds time) {
-    const auto& all = all_bounds_ms();
-    const auto found = std::lower_bound(all.begin(), all.end(), as_milliseconds(time));
-    if (found == all.end()) {
+std::size_t latency_histogram::bucket_of(microseconds latency) {
+    const auto& bounds_ms = all_bounds_ms();
+    const auto found =
+        std::lower_bound(bounds_ms.begin(), bounds_ms.end(), as_milliseconds(latency));
+    if (found == bounds_ms.end()) {
         return buckets - 1;
     }
-    return static_cast<std::size_t>(found - all.begin());
+    return static_cast<std::size_t>(found - bounds_ms.begin());
 }
 
-double time_counts::bound_ms(std::size_t bucket) {
+double latency_histogram::bound_ms(std::size_t bucket) {
     return all_bounds_ms().at(bucket);
 }
 
-void time_counts::add(microseconds time) {
-    counts_[bucket_of(time)] += 1;
+void latency_histogram::add(microseconds latency) {
+    counts_[bucket_of(latency)] += 1;
 }
 
-void time_counts::add(const time_counts& other) {
+void latency_histogram::add(const latency_histogram& other) {
     for (std::size_t bucket = 0; bucket < buckets; ++bucket) {
         counts_[bucket] += other.counts_[bucket];
     }
 }
 
-time_counts time_counts::since(const time_counts& earlier) const {
-    time_counts result;
+latency_histogram latency_histogram::since(const latency_histogram& earlier) const {
+    latency_histogram result;
     for (std::size_t bucket = 0; bucket < buckets; ++bucket) {
         result.counts_[bucket] =
             counts_[bucket] - std::min(counts_[bucket], earlier.counts_[bucket]);
@@ -57,60 +58,61 @@
     return result;
 }
 
-std::uint64_t time_counts::total() const {
+std::uint64_t latency_histogram::total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-void answer_counts::add(const answer_counts& other) {
+void response_counts::add(const response_counts& other) {
     sent += other.sent;
-    well += other.well;
-    badly += other.badly;
-    silent += other.silent;
-    first.add(other.first);
-    pace.add(other.pace);
+    succeeded += other.succeeded;
+    failed += other.failed;
+    inconclusive += other.inconclusive;
+    first_event.add(other.first_event);
+    event_interval.add(other.event_interval);
 }
 
-answer_counts answer_counts::since(const answer_counts& earlier) const {
-    answer_counts result;
+response_counts response_counts::since(const response_counts& earlier) const {
+    response_counts result;
     result.sent = sent - std::min(sent, earlier.sent);
-    result.well = well - std::min(well, earlier.well);
-    result.badly = badly - std::min(badly, earlier.badly);
-    result.silent = silent - std::min(silent, earlier.silent);
-    result.first = first.since(earlier.first);
-    result.pace = pace.since(earlier.pace);
+    result.succeeded = succeeded - std::min(succeeded, earlier.succeeded);
+    result.failed = failed - std::min(failed, earlier.failed);
+    result.inconclusive = inconclusive - std::min(inconclusive, earlier.inconclusive);
+    result.first_event = first_event.since(earlier.first_event);
+    result.event_interval = event_interval.since(earlier.event_interval);
     return result;
 }
 
 rollout_evidence rollout_evidence::since(const rollout_evidence& earlier) const {
     rollout_evidence result;
-    for (const auto& [key, answers] : counts) {
+    for (const auto& [key, responses] : counts) {
         const auto found = earlier.counts.find(key);
-        result.counts[key] = found == earlier.counts.end() ? answers : answers.since(found->second);
+        result.counts[key] =
+            found == earlier.counts.end() ? responses : responses.since(found->second);
     }
     return result;
 }
 
 void rollout_evidence::add(const rollout_evidence& other) {
-    for (const auto& [key, answers] : other.counts) {
-        counts[key].add(answers);
+    for (const auto& [key, responses] : other.counts) {
+        counts[key].add(responses);
     }
 }
 
-answer_counts rollout_evidence::of_new_version() const {
-    answer_counts sum;
-    for (const auto& [key, answers] : counts) {
+response_counts rollout_evidence::of_new_version() const {
+    response_counts sum;
+    for (const auto& [key, responses] : counts) {
         if (!key.target.empty()) {
-            sum.add(answers);
+            sum.add(responses);
         }
     }
     return sum;
 }
 
-answer_counts rollout_evidence::of_old_version() const {
-    answer_counts sum;
-    for (const auto& [key, answers] : counts) {
+response_counts rollout_evidence::of_old_version() const {
+    response_counts sum;
+    for (const auto& [key, responses] : counts) {
         if (key.target.empty()) {
-            sum.add(answers);
+            sum.add(responses);
         }
     }
     return sum;
--- a/src/decision/rollout/rollout_judge.cpp
+++ b/src/decision/rollout/rollout_judge.cpp
@@ -8,35 +8,37 @@
 
 namespace wrenswitch {
 
-const char* name_of(rollout_opinion opinion) {
-    switch (opinion) {
-        case rollout_opinion::undecided:
+const char* name_of(evaluation_result result) {
+    switch (result) {
+        case evaluation_result::undecided:
             return "undecided";
-        case rollout_opinion::bad:
+        case evaluation_result::bad:
             return "bad";
-        case rollout_opinion::good:
+        case evaluation_result::good:
             return "good";
     }
     return "unnamed";
 }
 
-rollout_judge::rollout_judge(settings chosen) : settings_(chosen) {}
+rollout_evaluator::rollout_evaluator(settings values) : settings_(values) {}
 
-rollout_verdict rollout_judge::judge(const rollout_evidence& evidence, double stress) const {
-    return judge(std::span(&evidence, 1), stress);
+rollout_evaluation rollout_evaluator::evaluate(const rollout_evidence& evidence,
+                                               double load_ratio) const {
+    return evaluate(std::span(&evidence, 1), load_ratio);
 }
 
-rollout_verdict rollout_judge::judge(std::span<const rollout_evidence> stretches,
-                                     double stress) const {
-    // Less load than the old targets bear is no reason to ask for faster answers.
-    const double borne = std::max(1.0, stress);
-    const answer_table answers(stretches);
-    if (auto shown = badness(settings_, borne).shown_by(answers)) {
-        return {rollout_opinion::bad, std::move(*shown)};
+rollout_evaluation rollout_evaluator::evaluate(std::span<const rollout_evidence> intervals,
+                                               double load_ratio) const {
+    // A lower load than that of the old targets doesn't call for faster responses.
+    const double expected_slowdown = std::max(1.0, load_ratio);
+    const response_statistics statistics(intervals);
+    if (auto regression = regression_check(settings_, expected_slowdown).find(statistics)) {
+        return {evaluation_result::bad, std::move(*regression)};
     }
-    goodness::answer answer = goodness(settings_, borne).ask(answers);
-    return {answer.good ? rollout_opinion::good : rollout_opinion::undecided,
-            std::move(answer.reason)};
+    acceptance_check::result acceptance =
+        acceptance_check(settings_, expected_slowdown).check(statistics);
+    return {acceptance.accepted ? evaluation_result::good : evaluation_result::undecided,
+            std::move(acceptance.reason)};
 }
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/rollout_table.cpp
+++ b/src/decision/rollout/rollout_table.cpp
@@ -15,12 +15,12 @@
 }
 
 bool rollout_table::accepts(const rollout_record& record) const {
-    const rollout_record* known = find(record.service);
-    if (known == nullptr || record.order > known->order) {
+    const rollout_record* current = find(record.service);
+    if (current == nullptr || record.order > current->order) {
         return true;
     }
-    return record.order == known->order && record.version == known->version &&
-           known->state == rollout_state::running;
+    return record.order == current->order && record.version == current->version &&
+           current->state == rollout_state::running;
 }
 
 bool rollout_table::apply(const rollout_record& record) {
--- a/src/decision/rollout/share_test.cpp
+++ b/src/decision/rollout/share_test.cpp
@@ -8,9 +8,9 @@
 namespace wrenswitch {
 namespace {
 
-/// Halvings of an interval of length one, down to less than one answer in a milliard.
-constexpr int halvings = 40;
-constexpr double least_share = 1e-9;
+/// Bisections of an interval of length one, to a precision finer than one in a billion.
+constexpr int bisection_steps = 40;
+constexpr double min_share = 1e-9;
 
 double log_gamma(double value) {
     int sign = 0;
@@ -21,25 +21,25 @@
     return log_gamma(left) + log_gamma(right) - log_gamma(left + right);
 }
 
-/// The logarithm of the chance of just these marks, if their share is drawn from a beta
-/// distribution.
-double log_mixture(const answer_share& answers, double marked, double unmarked) {
-    return log_beta(answers.marked + marked, answers.all - answers.marked + unmarked) -
-           log_beta(marked, unmarked);
+/// The log likelihood of this sequence of flags if their probability has a beta prior.
+double log_marginal_likelihood(const sample_proportion& sample, double flagged, double unflagged) {
+    return log_beta(sample.flagged + flagged, sample.total - sample.flagged + unflagged) -
+           log_beta(flagged, unflagged);
 }
 
-double slope(const answer_share& answers, double share) {
-    return answers.marked / share - (answers.all - answers.marked) / (1.0 - share);
+double slope(const sample_proportion& sample, double share) {
+    return sample.flagged / share - (sample.total - sample.flagged) / (1.0 - share);
 }
 
-/// The control's share that explains both best if the fresh one's is larger by just the tolerance.
-/// The sum of both logarithms is concave, so that its slope has one zero.
-double likeliest_control(const answer_share& fresh, const answer_share& control, double tolerance) {
-    double low = least_share;
-    double high = 1.0 - tolerance - least_share;
-    for (int step = 0; step < halvings; ++step) {
+/// The maximum likelihood share of the control if the treatment's share is larger by exactly
+/// `tolerance`. The sum of the log likelihoods is concave, so its slope has a single zero.
+double max_likelihood_control(const sample_proportion& treatment, const sample_proportion& control,
+                              double tolerance) {
+    double low = min_share;
+    double high = 1.0 - tolerance - min_share;
+    for (int iteration = 0; iteration < bisection_steps; ++iteration) {
         const double middle = (low + high) / 2.0;
-        if (slope(control, middle) + slope(fresh, middle + tolerance) > 0.0) {
+        if (slope(control, middle) + slope(treatment, middle + tolerance) > 0.0) {
             low = middle;
         } else {
             high = middle;
@@ -50,34 +50,37 @@
 
 }  // namespace
 
-double log_likelihood(const answer_share& answers, double share) {
-    const double bounded = std::clamp(share, least_share, 1.0 - least_share);
-    return answers.marked * std::log(bounded) +
-           (answers.all - answers.marked) * std::log1p(-bounded);
+double log_likelihood(const sample_proportion& sample, double share) {
+    const double bounded = std::clamp(share, min_share, 1.0 - min_share);
+    return sample.flagged * std::log(bounded) +
+           (sample.total - sample.flagged) * std::log1p(-bounded);
 }
 
-double log_evidence_of_excess(const answer_share& fresh, const answer_share& control,
-                              double tolerance, const share_guess& guess) {
-    if (fresh.all <= 0.0 || control.all <= 0.0 || fresh.value() <= control.value() + tolerance) {
+double log_e_value(const sample_proportion& treatment, const sample_proportion& control,
+                   double tolerance, const beta_priors& priors) {
+    if (treatment.total <= 0.0 || control.total <= 0.0 ||
+        treatment.value() <= control.value() + tolerance) {
         return 0.0;
     }
-    const double share = likeliest_control(fresh, control, tolerance);
-    return log_mixture(fresh, guess.fresh_marked, guess.fresh_unmarked) +
-           log_mixture(control, guess.control_marked, guess.control_unmarked) -
-           log_likelihood(control, share) - log_likelihood(fresh, share + tolerance);
+    const double share = max_likelihood_control(treatment, control, tolerance);
+    return log_marginal_likelihood(treatment, priors.treatment_flagged,
+                                   priors.treatment_unflagged) +
+           log_marginal_likelihood(control, priors.control_flagged, priors.control_unflagged) -
+           log_likelihood(control, share) - log_likelihood(treatment, share + tolerance);
 }
 
-double ruled_out_excess(const answer_share& fresh, double control_share, double error) {
-    const double wanted = std::log(1.0 / error);
-    const double as_control = log_likelihood(fresh, control_share);
-    double low = std::max(0.0, fresh.value() - control_share);
+double excess_upper_bound(const sample_proportion& treatment, double control_share, double error) {
+    const double threshold = std::log(1.0 / error);
+    const double control_log_likelihood = log_likelihood(treatment, control_share);
+    double low = std::max(0.0, treatment.value() - control_share);
     double high = 1.0 - control_share;
-    if (as_control - log_likelihood(fresh, 1.0) < wanted) {
+    if (control_log_likelihood - log_likelihood(treatment, 1.0) < threshold) {
         return 1.0;
     }
-    for (int step = 0; step < halvings; ++step) {
+    for (int iteration = 0; iteration < bisection_steps; ++iteration) {
         const double middle = (low + high) / 2.0;
-        if (as_control - log_likelihood(fresh, control_share + middle) < wanted) {
+        if (control_log_likelihood - log_likelihood(treatment, control_share + middle) <
+            threshold) {
             low = middle;
         } else {
             high = middle;
@@ -86,26 +89,25 @@
     return high;
 }
 
-double most_by_chance(double answers, double share, double error) {
+double binomial_quantile(double trials, double share, double error) {
     if (share <= 0.0 || share >= 1.0) {
-        return share <= 0.0 ? 0.0 : answers;
+        return share <= 0.0 ? 0.0 : trials;
     }
-    // What lies further below the mean than this, in standard deviations, has no chance to speak
-    // of.
-    constexpr double negligible = 10.0;
-    const double mean = answers * share;
+    // In standard deviations; the probability of anything further below the mean is negligible.
+    constexpr double max_deviations = 10.0;
+    const double mean = trials * share;
     const double spread = std::sqrt(mean * (1.0 - share));
-    double marks = std::max(0.0, std::floor(mean - negligible * spread));
-    double chance =
-        std::exp(log_gamma(answers + 1.0) - log_gamma(marks + 1.0) -
-                 log_gamma(answers - marks + 1.0) + log_likelihood({marks, answers}, share));
-    double sum = chance;
-    while (sum < 1.0 - error && marks < answers) {
-        chance *= (answers - marks) / (marks + 1.0) * share / (1.0 - share);
-        marks += 1.0;
-        sum += chance;
+    double count = std::max(0.0, std::floor(mean - max_deviations * spread));
+    double probability =
+        std::exp(log_gamma(trials + 1.0) - log_gamma(count + 1.0) -
+                 log_gamma(trials - count + 1.0) + log_likelihood({count, trials}, share));
+    double cumulative = probability;
+    while (cumulative < 1.0 - error && count < trials) {
+        probability *= (trials - count) / (count + 1.0) * share / (1.0 - share);
+        count += 1.0;
+        cumulative += probability;
     }
-    return marks;
+    return count;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/rollout/share_test.hpp
+++ b/src/decision/rollout/share_test.hpp
@@ -2,48 +2,48 @@
 
 namespace wrenswitch {
 
-/// How many of some answers have a mark: they failed, or were slow.
-struct answer_share {
-    double marked = 0.0;
-    double all = 0.0;
-
-    double value() const { return all > 0.0 ? marked / all : 0.0; }
-    void add(const answer_share& other) {
-        marked += other.marked;
-        all += other.all;
+/// The number of responses in a sample, and how many of them are flagged as failed or as slow.
+struct sample_proportion {
+    double flagged = 0.0;
+    double total = 0.0;
+
+    double value() const { return total > 0.0 ? flagged / total : 0.0; }
+    void add(const sample_proportion& other) {
+        flagged += other.flagged;
+        total += other.total;
     }
-    answer_share without(const answer_share& part) const {
-        return {marked - part.marked, all - part.all};
+    sample_proportion without(const sample_proportion& other) const {
+        return {flagged - other.flagged, total - other.total};
     }
 };
 
-/// What is supposed of the two shares before any answer, as beta distributions. A wrong guess costs
-/// power, no error.
-struct share_guess {
-    double fresh_marked = 1.0;
-    double fresh_unmarked = 1.0;
-    double control_marked = 1.0;
-    double control_unmarked = 1.0;
+/// Beta priors of the two shares. A wrong prior reduces the power of the test but doesn't increase
+/// its error rate.
+struct beta_priors {
+    double treatment_flagged = 1.0;
+    double treatment_unflagged = 1.0;
+    double control_flagged = 1.0;
+    double control_unflagged = 1.0;
 };
 
-/// The logarithm of the evidence (an e-value) that the marks of `fresh` are more frequent than
-/// those of `control` by more than `tolerance`: a mixture of all pairs of shares over the likeliest
-/// pair that isn't so. While it isn't so, the chance that the evidence ever reaches x, however
-/// often one looks and whatever the order in which answers come, is at most 1/x (Ville's
-/// inequality).
-double log_evidence_of_excess(const answer_share& fresh, const answer_share& control,
-                              double tolerance, const share_guess& guess);
-
-/// The logarithm of the chance of just these marks in this order, if each answer has one with this
-/// chance.
-double log_likelihood(const answer_share& answers, double share);
-
-/// The smallest excess over the control's share that `fresh` rules out: had the excess been that or
-/// more, evidence like this would ever come with no more than the chance `error`. 1 if none is.
-double ruled_out_excess(const answer_share& fresh, double control_share, double error);
-
-/// The most marks that come among so many answers with this share of marks, but for the chance
-/// `error` that there are more.
-double most_by_chance(double answers, double share, double error);
+/// The log of the e-value against the hypothesis that the share of flagged responses of `treatment`
+/// exceeds that of `control` by at most `tolerance`: a mixture over all pairs of shares divided by
+/// the maximum likelihood under the hypothesis. While the hypothesis holds, the probability that
+/// the e-value ever reaches x, with any number of looks and any order of the responses, is at most
+/// 1/x (Ville's inequality).
+double log_e_value(const sample_proportion& treatment, const sample_proportion& control,
+                   double tolerance, const beta_priors& priors);
+
+/// The log likelihood of this sequence of flags if each response is flagged with probability
+/// `share`.
+double log_likelihood(const sample_proportion& sample, double share);
+
+/// The smallest excess over `control_share` that `treatment` rules out: with that excess or more,
+/// such evidence would ever occur with probability `error` at most. 1 if no excess is ruled out.
+double excess_upper_bound(const sample_proportion& treatment, double control_share, double error);
+
+/// The number of flagged responses among `trials` that is exceeded with probability `error` at most
+/// if each is flagged with probability `share`.
+double binomial_quantile(double trials, double share, double error);
 
 }  // namespace wrenswitch
--- a/src/decision/suspects/broken_runs.cpp
+++ b/src/decision/suspects/broken_runs.cpp
@@ -5,67 +5,72 @@
 
 namespace wrenswitch {
 
-void broken_runs::broke(instant now, const target_life& life, const digest& request) {
-    note(life, {request, now, true});
+void interrupted_attempts::record_interrupted(instant now, const target_incarnation& incarnation,
+                                              const digest& request) {
+    add(incarnation, {request, now, true});
 }
 
-void broken_runs::left(instant now, const target_life& life, const digest& request) {
-    note(life, {request, now, false});
+void interrupted_attempts::record_cancelled(instant now, const target_incarnation& incarnation,
+                                            const digest& request) {
+    add(incarnation, {request, now, false});
 }
 
-void broken_runs::note(const target_life& life, run ended) {
-    std::vector<run>& runs = lives_[life];
-    if (runs.size() >= settings_.most_of_a_life) {
-        runs.erase(runs.begin());
+void interrupted_attempts::add(const target_incarnation& incarnation, attempt ended) {
+    std::vector<attempt>& attempts = attempts_by_incarnation_[incarnation];
+    if (attempts.size() >= settings_.max_per_incarnation) {
+        attempts.erase(attempts.begin());
     }
-    runs.push_back(ended);
+    attempts.push_back(ended);
 }
 
-bool broken_runs::has_broken(const target_life& life) const {
-    const auto found = lives_.find(life);
-    return found != lives_.end() && std::any_of(found->second.begin(), found->second.end(),
-                                                [](const run& each) { return each.broke; });
+bool interrupted_attempts::has_interrupted(const target_incarnation& incarnation) const {
+    const auto found = attempts_by_incarnation_.find(incarnation);
+    return found != attempts_by_incarnation_.end() &&
+           std::any_of(found->second.begin(), found->second.end(),
+                       [](const attempt& each) { return each.interrupted; });
 }
 
-std::vector<target_life> broken_runs::broken_lives(std::string_view target) const {
-    std::vector<target_life> found;
-    for (const auto& [life, runs] : lives_) {
-        if (life.target == target && has_broken(life)) {
-            found.push_back(life);
+std::vector<target_incarnation> interrupted_attempts::interrupted_incarnations(
+    std::string_view target) const {
+    std::vector<target_incarnation> found;
+    for (const auto& [incarnation, attempts] : attempts_by_incarnation_) {
+        if (incarnation.target == target && has_interrupted(incarnation)) {
+            found.push_back(incarnation);
         }
     }
     return found;
 }
 
-std::vector<digest> broken_runs::take_ended(const target_life& life) {
-    const auto found = lives_.find(life);
-    if (found == lives_.end()) {
+std::vector<digest> interrupted_attempts::take_in_flight(const target_incarnation& incarnation) {
+    const auto found = attempts_by_incarnation_.find(incarnation);
+    if (found == attempts_by_incarnation_.end()) {
         return {};
     }
-    const std::vector<run> runs = std::move(found->second);
-    lives_.erase(found);
-    const auto last_break =
-        std::find_if(runs.rbegin(), runs.rend(), [](const run& each) { return each.broke; });
-    if (last_break == runs.rend()) {
+    const std::vector<attempt> attempts = std::move(found->second);
+    attempts_by_incarnation_.erase(found);
+    const auto last_interruption = std::find_if(
+        attempts.rbegin(), attempts.rend(), [](const attempt& each) { return each.interrupted; });
+    if (last_interruption == attempts.rend()) {
         return {};
     }
-    // All that is under way breaks off in the moment of the end; what broke long before did so for
-    // another reason.
-    const instant at_work_since = last_break->ended - settings_.still_at_work;
-    std::set<digest> under_way;
-    for (const run& each : runs) {
-        if (each.ended >= at_work_since) {
-            under_way.insert(each.request);
+    // A crash interrupts all requests in flight at the same moment; earlier interruptions had
+    // another cause.
+    const instant in_flight_since = last_interruption->ended - settings_.cancelled_in_flight_time;
+    std::set<digest> in_flight;
+    for (const attempt& each : attempts) {
+        if (each.ended >= in_flight_since) {
+            in_flight.insert(each.request);
         }
     }
-    return {under_way.begin(), under_way.end()};
+    return {in_flight.begin(), in_flight.end()};
 }
 
-void broken_runs::forget_old(instant now) {
-    for (auto& [life, runs] : lives_) {
-        std::erase_if(runs, [&](const run& each) { return now - each.ended > settings_.memory; });
+void interrupted_attempts::discard_expired(instant now) {
+    for (auto& [incarnation, attempts] : attempts_by_incarnation_) {
+        std::erase_if(attempts,
+                      [&](const attempt& each) { return now - each.ended > settings_.retention; });
     }
-    std::erase_if(lives_, [](const auto& each) { return each.second.empty(); });
+    std::erase_if(attempts_by_incarnation_, [](const auto& each) { return each.second.empty(); });
 }
 
 }  // namespace wrenswitch
--- a/src/decision/suspects/suspect_table.cpp
+++ b/src/decision/suspects/suspect_table.cpp
@@ -4,8 +4,8 @@
 
 namespace wrenswitch {
 
-std::string_view name_of(suspicion held) {
-    switch (held) {
+std::string_view name_of(suspicion value) {
+    switch (value) {
         case suspicion::none:
             return "none";
         case suspicion::suspected:
@@ -16,39 +16,39 @@
     return "unnamed";
 }
 
-bool suspect_table::add(instant now, const suspect_end& end) {
-    suspect& held = suspects_[end.request];
-    if (!held.ended.insert(end.life).second) {
+bool suspect_table::add(instant now, const crash_evidence& evidence) {
+    suspect_entry& entry = suspects_[evidence.request];
+    if (!entry.crashes.insert(evidence.incarnation).second) {
         return false;
     }
-    held.last = now;
+    entry.last_crash = now;
     return true;
 }
 
-bool suspect_table::remove(const suspect_end& end) {
-    const auto found = suspects_.find(end.request);
-    if (found == suspects_.end() || found->second.ended.erase(end.life) == 0) {
+bool suspect_table::remove(const crash_evidence& evidence) {
+    const auto found = suspects_.find(evidence.request);
+    if (found == suspects_.end() || found->second.crashes.erase(evidence.incarnation) == 0) {
         return false;
     }
-    if (found->second.ended.empty()) {
+    if (found->second.crashes.empty()) {
         suspects_.erase(found);
     }
     return true;
 }
 
-std::vector<suspect_end> suspect_table::ended_well(instant now, const digest& request) {
+std::vector<crash_evidence> suspect_table::record_success(instant now, const digest& request) {
     instant& at = proven_[request];
-    // One that is asked for all the time isn't put into the order each time.
-    if (at == instant{} || now - at > settings_.proven_for / 2) {
+    // Limits the entries of a request that is repeated all the time.
+    if (at == instant{} || now - at > settings_.proof_lifetime / 2) {
         proven_order_.push_back({request, now});
         at = now;
     }
-    forget_proven();
+    trim_proven();
     return drop(request);
 }
 
-void suspect_table::forget_proven() {
-    while (proven_order_.size() > settings_.most_proven) {
+void suspect_table::trim_proven() {
+    while (proven_order_.size() > settings_.max_proven) {
         const proof& oldest = proven_order_.front();
         const auto found = proven_.find(oldest.request);
         if (found != proven_.end() && found->second == oldest.at) {
@@ -60,81 +60,83 @@
 
 bool suspect_table::is_proven(instant now, const digest& request) const {
     const auto found = proven_.find(request);
-    return found != proven_.end() && now - found->second <= settings_.proven_for;
+    return found != proven_.end() && now - found->second <= settings_.proof_lifetime;
 }
 
-microseconds suspect_table::quarantine_of(const suspect& held) const {
-    if (held.ended.size() < settings_.quarantined_at) {
+microseconds suspect_table::quarantine_duration(const suspect_entry& entry) const {
+    if (entry.crashes.size() < settings_.quarantine_threshold) {
         return {};
     }
-    const auto beyond = static_cast<unsigned>(held.ended.size() - settings_.quarantined_at);
-    return settings_.first_quarantine * (1U << std::min(beyond, settings_.most_doublings));
+    const auto excess_crashes =
+        static_cast<unsigned>(entry.crashes.size() - settings_.quarantine_threshold);
+    return settings_.base_quarantine * (1U << std::min(excess_crashes, settings_.max_doublings));
 }
 
-suspicion suspect_table::held_of(instant now, const digest& request) const {
+suspicion suspect_table::suspicion_of(instant now, const digest& request) const {
     const auto found = suspects_.find(request);
     if (found == suspects_.end()) {
         return suspicion::none;
     }
-    const bool quarantined = now - found->second.last < quarantine_of(found->second);
+    const bool quarantined = now - found->second.last_crash < quarantine_duration(found->second);
     return quarantined ? suspicion::quarantined : suspicion::suspected;
 }
 
-bool suspect_table::holds(const suspect_end& end) const {
-    const auto found = suspects_.find(end.request);
-    return found != suspects_.end() && found->second.ended.contains(end.life);
+bool suspect_table::contains(const crash_evidence& evidence) const {
+    const auto found = suspects_.find(evidence.request);
+    return found != suspects_.end() && found->second.crashes.contains(evidence.incarnation);
 }
 
-std::size_t suspect_table::ends_of(const digest& request) const {
+std::size_t suspect_table::crash_count(const digest& request) const {
     const auto found = suspects_.find(request);
-    return found == suspects_.end() ? 0 : found->second.ended.size();
+    return found == suspects_.end() ? 0 : found->second.crashes.size();
 }
 
-std::vector<suspect_end> suspect_table::evidence(const digest& request) const {
-    std::vector<suspect_end> all;
+std::vector<crash_evidence> suspect_table::evidence_for(const digest& request) const {
+    std::vector<crash_evidence> all;
     const auto found = suspects_.find(request);
     if (found != suspects_.end()) {
-        for (const target_life& life : found->second.ended) {
-            all.push_back({request, life});
+        for (const target_incarnation& incarnation : found->second.crashes) {
+            all.push_back({request, incarnation});
         }
     }
     return all;
 }
 
-std::vector<suspect_end> suspect_table::drop(const digest& request) {
-    std::vector<suspect_end> dropped = evidence(request);
+std::vector<crash_evidence> suspect_table::drop(const digest& request) {
+    std::vector<crash_evidence> dropped = evidence_for(request);
     suspects_.erase(request);
     return dropped;
 }
 
-/// What is weakest, and of this the oldest. A caller that sends ever new contents only pushes out
-/// suspects of single ends, unless it has ended as many targets under each.
-const digest* suspect_table::least_wanted() const {
-    const auto least = std::min_element(
+/// The suspect with the fewest crashes, and among these the oldest. A caller that keeps sending new
+/// contents only evicts suspects with a single crash, unless it has crashed as many targets under
+/// each.
+const digest* suspect_table::weakest_suspect() const {
+    const auto weakest = std::min_element(
         suspects_.begin(), suspects_.end(), [](const auto& left, const auto& right) {
-            return std::pair(left.second.ended.size(), left.second.last) <
-                   std::pair(right.second.ended.size(), right.second.last);
+            return std::pair(left.second.crashes.size(), left.second.last_crash) <
+                   std::pair(right.second.crashes.size(), right.second.last_crash);
         });
-    return least == suspects_.end() ? nullptr : &least->first;
+    return weakest == suspects_.end() ? nullptr : &weakest->first;
 }
 
-std::vector<suspect_end> suspect_table::drop_old(instant now) {
-    std::vector<digest> due;
-    for (const auto& [request, held] : suspects_) {
-        if (now - held.last > quarantine_of(held) + settings_.memory) {
-            due.push_back(request);
+std::vector<crash_evidence> suspect_table::evict_expired(instant now) {
+    std::vector<digest> expired;
+    for (const auto& [request, entry] : suspects_) {
+        if (now - entry.last_crash > quarantine_duration(entry) + settings_.evidence_retention) {
+            expired.push_back(request);
         }
     }
-    std::vector<suspect_end> dropped;
-    const auto drop_one = [&](const digest& request) {
-        const std::vector<suspect_end> all = drop(request);
+    std::vector<crash_evidence> dropped;
+    const auto evict = [&](const digest& request) {
+        const std::vector<crash_evidence> all = drop(request);
         dropped.insert(dropped.end(), all.begin(), all.end());
     };
-    for (const digest& request : due) {
-        drop_one(request);
+    for (const digest& request : expired) {
+        evict(request);
     }
-    while (suspects_.size() > settings_.most_requests) {
-        drop_one(digest(*least_wanted()));
+    while (suspects_.size() > settings_.max_requests) {
+        evict(digest(*weakest_suspect()));
     }
     return dropped;
 }
--- a/src/drivers/suspect_log.cpp
+++ b/src/drivers/suspect_log.cpp
@@ -30,15 +30,15 @@
 
 }  // namespace
 
-keyed_record encode_suspect_end(const suspect_end& end, const std::string& host) {
+keyed_record encode_suspect_end(const crash_evidence& end, const std::string& host) {
     wire::SuspectRecord value;
     value.set_host(host);
-    return {end.request.to_hex() + separator + std::to_string(end.life.started) + separator +
-                end.life.target,
+    return {end.request.to_hex() + separator + std::to_string(end.incarnation.started) + separator +
+                end.incarnation.target,
             value.SerializeAsString(), 0};
 }
 
-std::optional<suspect_end> decode_suspect_end(const keyed_record& record) {
+std::optional<crash_evidence> decode_suspect_end(const keyed_record& record) {
     const std::string_view key = record.key;
     const std::size_t first = key.find(separator);
     const std::size_t second =
@@ -54,7 +54,7 @@
     if (!request || problem != std::errc{} || rest != number.data() + number.size()) {
         return std::nullopt;
     }
-    return suspect_end{*request, {std::string(key.substr(second + 1)), started}};
+    return crash_evidence{*request, {std::string(key.substr(second + 1)), started}};
 }
 
 suspect_log::suspect_log(event_loop& loop, keyed_log& log, std::string name, std::string host,
@@ -78,7 +78,7 @@
 }
 
 void suspect_log::changed(const keyed_record& record) {
-    const std::optional<suspect_end> end = decode_suspect_end(record);
+    const std::optional<crash_evidence> end = decode_suspect_end(record);
     if (!end) {
         counters_.counter("suspect_records_damaged_total") += 1;
         log_event(log_level::error, "suspect_record_damaged",
@@ -96,9 +96,9 @@
 
 /// Rewrites suspects that a restored store lost. Any process that holds them may do so.
 void suspect_log::rewrite_lost(std::span<const std::string> lost) {
-    std::vector<suspect_end> ends;
+    std::vector<crash_evidence> ends;
     for (const std::string& key : lost) {
-        const std::optional<suspect_end> end = decode_suspect_end({key, std::nullopt, 0});
+        const std::optional<crash_evidence> end = decode_suspect_end({key, std::nullopt, 0});
         if (end && held_.erase(*end) > 0) {
             ends.push_back(*end);
         }
@@ -106,9 +106,9 @@
     want(ends, true);
 }
 
-void suspect_log::want(std::span<const suspect_end> ends, bool in_log) {
+void suspect_log::want(std::span<const crash_evidence> ends, bool in_log) {
     std::size_t left_out = 0;
-    for (const suspect_end& end : ends) {
+    for (const crash_evidence& end : ends) {
         const bool is_there = in_log && holds(end) && !pending_.contains(end);
         const bool fits = encode_suspect_end(end, host_).key.size() <= most_key_bytes &&
                           (pending_.size() < most_pending || pending_.contains(end));
@@ -132,7 +132,7 @@
     if (appending_ || pending_.empty()) {
         return;
     }
-    std::map<suspect_end, bool> written;
+    std::map<crash_evidence, bool> written;
     std::vector<keyed_record> records;
     for (const auto& [end, in_log] : pending_) {
         if (records.size() == most_a_time) {
@@ -154,8 +154,8 @@
                 });
 }
 
-void suspect_log::tell_not_written(const std::map<suspect_end, bool>& tried) const {
-    std::vector<suspect_end> ends;
+void suspect_log::tell_not_written(const std::map<crash_evidence, bool>& tried) const {
+    std::vector<crash_evidence> ends;
     for (const auto& [end, in_log] : tried) {
         if (in_log) {
             ends.push_back(end);
@@ -167,7 +167,7 @@
 }
 
 /// What was wanted otherwise meanwhile is still to be written.
-void suspect_log::appended(const std::map<suspect_end, bool>& written,
+void suspect_log::appended(const std::map<crash_evidence, bool>& written,
                            const result<std::uint64_t>& end) {
     if (!end) {
         counters_.counter("suspect_append_failures_total") += 1;
--- a/src/experiment/fixed_threshold_judge.cpp
+++ b/src/experiment/fixed_threshold_judge.cpp
@@ -14,36 +14,36 @@
 constexpr double least_answers = 16.0;
 
 /// By how many standard deviations the new version's share is larger.
-double deviations(const marked_scope& scope) {
-    const answer_share fresh = scope.fresh();
-    answer_share both = fresh;
+double deviations(const route_comparison& scope) {
+    const sample_proportion fresh = scope.treatment();
+    sample_proportion both = fresh;
     both.add(scope.control);
     const double share = both.value();
-    const double variance = share * (1.0 - share) * (1.0 / fresh.all + 1.0 / scope.control.all);
+    const double variance = share * (1.0 - share) * (1.0 / fresh.total + 1.0 / scope.control.total);
     return variance > 0.0 ? (fresh.value() - scope.control.value()) / std::sqrt(variance) : 0.0;
 }
 
 }  // namespace
 
-rollout_opinion fixed_threshold_opinion(const rollout_evidence& evidence) {
+evaluation_result fixed_threshold_opinion(const rollout_evidence& evidence) {
     constexpr double level = 0.05;
-    const answer_table table(std::span(&evidence, 1));
-    std::vector<marked_scope> scopes = table.failures();
-    const double answers = scopes.empty() ? 0.0 : scopes.front().fresh().all;
-    for (const auto time : {answer_time::first, answer_time::pace}) {
-        for (marked_scope& scope : table.slow({time, 2.0, level})) {
+    const response_statistics table(std::span(&evidence, 1));
+    std::vector<route_comparison> scopes = table.failures();
+    const double answers = scopes.empty() ? 0.0 : scopes.front().treatment().total;
+    for (const auto time : {latency_kind::first_event, latency_kind::event_interval}) {
+        for (route_comparison& scope : table.slow({time, 2.0, level})) {
             scopes.push_back(std::move(scope));
         }
     }
     double most = 0.0;
-    for (const marked_scope& scope : scopes) {
+    for (const route_comparison& scope : scopes) {
         most = std::max(most, deviations(scope));
     }
     if (most >= bad_deviations && answers >= least_answers) {
-        return rollout_opinion::bad;
+        return evaluation_result::bad;
     }
-    return answers >= least_answers && most < doubted_deviations ? rollout_opinion::good
-                                                                 : rollout_opinion::undecided;
+    return answers >= least_answers && most < doubted_deviations ? evaluation_result::good
+                                                                 : evaluation_result::undecided;
 }
 
 }  // namespace wrenswitch::experiment
--- a/src/experiment/rollout_run.cpp
+++ b/src/experiment/rollout_run.cpp
@@ -65,12 +65,12 @@
     return score_;
 }
 
-bool rollout_run::end(double now, rollout_opinion opinion) {
-    if (opinion == rollout_opinion::bad) {
+bool rollout_run::end(double now, evaluation_result opinion) {
+    if (opinion == evaluation_result::bad) {
         score_.rolled_back = true;
         return true;
     }
-    moving_ = opinion == rollout_opinion::good && now >= service_.duration - move_time;
+    moving_ = opinion == evaluation_result::good && now >= service_.duration - move_time;
     if (!moving_ || now < service_.duration - tick) {
         return false;
     }
@@ -82,13 +82,13 @@
 void rollout_run::take_ended(double until) {
     while (!under_way_.empty() && under_way_.begin()->first <= until) {
         const drawn_answer& answer = under_way_.begin()->second;
-        answer_counts& counts = evidence_[answer.moved ? 1 : 0].counts[answer.key];
+        response_counts& counts = evidence_[answer.moved ? 1 : 0].counts[answer.key];
         counts.sent += 1;
-        (answer.failed ? counts.badly : counts.well) += 1;
+        (answer.failed ? counts.failed : counts.succeeded) += 1;
         if (!answer.failed) {
-            counts.first.add(answer.first);
+            counts.first_event.add(answer.first);
             if (service_.streams) {
-                counts.pace.add(answer.pace);
+                counts.event_interval.add(answer.pace);
             }
         }
         under_way_.erase(under_way_.begin());
--- a/src/experiment/rollout_run.hpp
+++ b/src/experiment/rollout_run.hpp
@@ -28,7 +28,7 @@
 };
 
 /// The judge, with the evidence of the canary's time and of the move's.
-using rollout_opinion_of = std::function<rollout_opinion(std::span<const rollout_evidence>)>;
+using rollout_opinion_of = std::function<evaluation_result(std::span<const rollout_evidence>)>;
 
 /// One roll-out in virtual time: outcomes and times of answers are drawn for each request, the
 /// judge is asked four times a second, with what had ended a quarter of a second before. The canary
@@ -57,7 +57,7 @@
     drawn_answer draw_new(double now);
     void draw_times(drawn_answer& answer, double slower_first, double slower_pace);
     std::size_t loaded_target(double now) const;
-    bool end(double now, rollout_opinion opinion);
+    bool end(double now, evaluation_result opinion);
     void take_ended(double until);
 
     rollout_service service_;
--- a/src/main/wrenload/policy_rollout.cpp
+++ b/src/main/wrenload/policy_rollout.cpp
@@ -60,18 +60,18 @@
 }
 
 /// Microseconds that one call of the judge takes, with the evidence at the end of a good roll-out.
-double cost_of(const rollout_judge& judge, const rollout_service& service) {
+double cost_of(const rollout_evaluator& judge, const rollout_service& service) {
     rollout_evidence last;
     experiment::rollout_run(service, {.name = "good", .bad = false}, usual_canary_part, 1)
         .run([&](auto stretches) {
             last = stretches.front();
-            return rollout_opinion::undecided;
+            return evaluation_result::undecided;
         });
     constexpr int calls = 1000;
     const instant begin = monotonic_now();
     int undecided = 0;
     for (int call = 0; call < calls; ++call) {
-        undecided += judge.judge(last).opinion == rollout_opinion::undecided ? 1 : 0;
+        undecided += judge.evaluate(last).result == evaluation_result::undecided ? 1 : 0;
     }
     const double taken = static_cast<double>((monotonic_now() - begin).count());
     return undecided > calls ? 0.0 : taken / calls;
@@ -128,7 +128,7 @@
     std::cout << '\n';
 }
 
-void print_costs(const rollout_judge& judge) {
+void print_costs(const rollout_evaluator& judge) {
     constexpr std::size_t many_targets = 57;
     rollout_service service = experiment::rollout_services().front();
     for (const std::size_t targets : {service.targets, many_targets}) {
@@ -153,10 +153,10 @@
     TCLAP::SwitchArg as_json("j", "json", "Print JSON.", command);
     command.parse(words);
 
-    const rollout_judge judge({});
+    const rollout_evaluator judge({});
     const std::vector<std::pair<std::string, experiment::rollout_opinion_of>> judges{
-        {"sequential", [&](auto stretches) { return judge.judge(stretches).opinion; }},
-        {"as one", [&](auto stretches) { return judge.judge(summed(stretches)).opinion; }},
+        {"sequential", [&](auto stretches) { return judge.evaluate(stretches).result; }},
+        {"as one", [&](auto stretches) { return judge.evaluate(summed(stretches)).result; }},
         {"fixed",
          [](auto stretches) { return experiment::fixed_threshold_opinion(summed(stretches)); }}};
     json rows = json::array();
--- a/src/roles/gateway/entry_rollouts.cpp
+++ b/src/roles/gateway/entry_rollouts.cpp
@@ -27,7 +27,7 @@
                               rollout_gate(now, order, exposed_share_, excluded_by(order)))
             .first->second;
     if (in_force) {
-        gate.note_in_force();
+        gate.mark_already_deployed();
     }
     counters_.counter("rollout_orders_total") += 1;
     log_event(log_level::information, "rollout_ordered",
@@ -86,20 +86,20 @@
     if (record.state == rollout_state::running) {
         return;
     }
-    rollout_stand ended;
+    rollout_directive ended;
     ended.service = record.service;
     ended.order = record.order;
     ended.version = record.version;
     ended.phase = record.state == rollout_state::completed ? rollout_phase::completed
                                                            : rollout_phase::rolled_back;
-    if (gate.take(now, ended)) {
+    if (gate.apply(now, ended)) {
         tell_phase(now, gate, "log: " + record.reason);
     }
 }
 
-void entry_rollouts::told(instant now, const rollout_stand& stand) {
+void entry_rollouts::told(instant now, const rollout_directive& stand) {
     const auto known = gates_.find(stand.service);
-    if (known != gates_.end() && known->second.take(now, stand)) {
+    if (known != gates_.end() && known->second.apply(now, stand)) {
         tell_phase(now, known->second, "decider");
     }
 }
@@ -120,8 +120,8 @@
 std::vector<entry_rollouts::told_evidence> entry_rollouts::reports(instant now) const {
     std::vector<told_evidence> all;
     for (const auto& [service, gate] : gates_) {
-        if (!is_over(gate.stand().phase)) {
-            all.push_back({gate.report(now), gate.evidence(), gate.stand().phase});
+        if (!is_over(gate.directive().phase)) {
+            all.push_back({gate.report(now), gate.evidence(), gate.directive().phase});
         }
     }
     return all;
@@ -130,8 +130,8 @@
 void entry_rollouts::observe(instant now) {
     for (const auto& [service, gate] : gates_) {
         counters_.gauge(of_service("rollout_phase", gate)) =
-            static_cast<double>(gate.stand().phase);
-        counters_.gauge(of_service("rollout_left_s", gate)) = as_seconds(gate.left(now));
+            static_cast<double>(gate.directive().phase);
+        counters_.gauge(of_service("rollout_left_s", gate)) = as_seconds(gate.remaining(now));
         counters_.gauge(of_service("rollout_reached", gate)) =
             static_cast<double>(gate.exposure().reached());
         counters_.gauge(of_service("rollout_exposed", gate)) =
@@ -155,22 +155,22 @@
 void entry_rollouts::tell_phase(instant now, const rollout_gate& gate,
                                 std::string_view cause) const {
     const rollout_report report = gate.report(now);
-    const answer_counts of_new = gate.evidence().of_new_version();
-    const answer_counts of_old = gate.evidence().of_old_version();
+    const response_counts of_new = gate.evidence().of_new_version();
+    const response_counts of_old = gate.evidence().of_old_version();
     log_event(log_level::information, "rollout_phase",
               {{"service", gate.order().service},
                {"order", std::to_string(gate.order().number)},
                {"version", gate.order().version},
-               {"phase", name_of(gate.stand().phase)},
+               {"phase", name_of(gate.directive().phase)},
                {"cause", std::string(cause)},
-               {"left_ms", millis_text(gate.left(now))},
+               {"left_ms", millis_text(gate.remaining(now))},
                {"known_for_ms", millis_text(report.known_for)},
                {"reached_here", std::to_string(report.reached)},
                {"exposed_here", std::to_string(report.exposed)},
-               {"new_well", std::to_string(of_new.well)},
-               {"new_badly", std::to_string(of_new.badly)},
-               {"old_well", std::to_string(of_old.well)},
-               {"old_badly", std::to_string(of_old.badly)}});
+               {"new_well", std::to_string(of_new.succeeded)},
+               {"new_badly", std::to_string(of_new.failed)},
+               {"old_well", std::to_string(of_old.succeeded)},
+               {"old_badly", std::to_string(of_old.failed)}});
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/entry_rollouts.hpp
+++ b/src/roles/gateway/entry_rollouts.hpp
@@ -31,7 +31,7 @@
     void recorded(instant now, const rollout_record& record);
 
     /// The decider's word.
-    void told(instant now, const rollout_stand& stand);
+    void told(instant now, const rollout_directive& stand);
 
     /// The gate of a service, or null if it isn't rolled out.
     rollout_gate* gate_of(std::string_view service);
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -135,16 +135,16 @@
     const bool well = answer_.status < first_server_error || answer_refused_;
     if (called_off_) {
         suspicion_.left(monotonic_now());
-        end_attempt(run_end::left, rollout_gate::answer::silent);
+        end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
         call_off_ended();
         return;
     }
     const bool whole = well && !(streaming_ && events_.has_rest());
     const bool is_success = answer_.status >= status_ok && answer_.status < first_redirection;
     suspicion_.answered(whole && is_success && !answer_refused_);
-    const auto answer = whole ? rollout_gate::answer::well : rollout_gate::answer::badly;
+    const auto answer = whole ? rollout_gate::outcome::succeeded : rollout_gate::outcome::failed;
     end_attempt(well ? run_end::answered_well : run_end::answered_badly,
-                answer_refused_ ? rollout_gate::answer::silent : answer);
+                answer_refused_ ? rollout_gate::outcome::inconclusive : answer);
     context_.targets.on_response(monotonic_now(), target_, well);
     if (answer_refused_) {
         if (answer_.status == status_misdirected) {
@@ -207,7 +207,7 @@
     finish("served", answer_.status);
 }
 
-void forwarded_request::end_attempt(run_end how, rollout_gate::answer answer) {
+void forwarded_request::end_attempt(run_end how, rollout_gate::outcome answer) {
     call_.reset();
     rollout_.end(answer, stream_.pace());
     context_.targets.on_finished(target_);
@@ -227,7 +227,7 @@
         suspicion_.broke(monotonic_now(), failure);
     }
     end_attempt(called_off_ ? run_end::left : run_end::failed,
-                says_nothing ? rollout_gate::answer::silent : rollout_gate::answer::badly);
+                says_nothing ? rollout_gate::outcome::inconclusive : rollout_gate::outcome::failed);
     if (called_off_) {
         if (failure != upstream_failure::cut_short) {
             assume_unseen();
@@ -296,7 +296,7 @@
     }
     const bool sent = call_->sent();
     suspicion_.left(monotonic_now());
-    end_attempt(run_end::left, rollout_gate::answer::silent);
+    end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
     if (sent) {
         history_.record_possible_run();
         assume_unseen();
@@ -338,7 +338,8 @@
     const bool sent = call_ != nullptr && call_->sent();
     suspicion_.left(monotonic_now());
     if (call_) {
-        end_attempt(run_end::left, sent ? answer_at_deadline() : rollout_gate::answer::silent);
+        end_attempt(run_end::left,
+                    sent ? answer_at_deadline() : rollout_gate::outcome::inconclusive);
     }
     if (!sent && !history_.may_have_run()) {
         refuse(status_unavailable, "deadline_before_sending", until_targets);
@@ -353,10 +354,10 @@
 
 /// A target that had most of the time that the caller gave, and didn't end, did badly. One that got
 /// the request late says nothing.
-rollout_gate::answer forwarded_request::answer_at_deadline() const {
+rollout_gate::outcome forwarded_request::answer_at_deadline() const {
     const microseconds had = deadline_ - sent_at_;
     const microseconds given = deadline_ - exchange_->received();
-    return had * 2 >= given ? rollout_gate::answer::badly : rollout_gate::answer::silent;
+    return had * 2 >= given ? rollout_gate::outcome::failed : rollout_gate::outcome::inconclusive;
 }
 
 void forwarded_request::join_rollout(const std::string& service) {
@@ -394,7 +395,7 @@
     }
     if (call_) {
         suspicion_.left(monotonic_now());
-        end_attempt(run_end::left, rollout_gate::answer::silent);
+        end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
     }
     finish("caller_gone", 0);
 }
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -328,7 +328,7 @@
     if (take_retry()) {
         history_.record_possible_run();
         suspicion_.left(now);
-        end_attempt(run_end::left, rollout_gate::answer::badly);
+        end_attempt(run_end::left, rollout_gate::outcome::failed);
         dispatch();
     }
 }
--- a/src/roles/gateway/forwarded_request.hpp
+++ b/src/roles/gateway/forwarded_request.hpp
@@ -90,8 +90,8 @@
     void on_piece(std::string_view piece);
     void on_end();
     void on_failed(upstream_failure failure);
-    void end_attempt(run_end how, rollout_gate::answer answer);
-    rollout_gate::answer answer_at_deadline() const;
+    void end_attempt(run_end how, rollout_gate::outcome answer);
+    rollout_gate::outcome answer_at_deadline() const;
     void attempt_unsent();
 
     void pass_stream(std::string_view piece);
@@ -130,7 +130,7 @@
 
     /// The target of the attempt under way, or empty.
     std::string target_;
-    target_life life_;
+    target_incarnation life_;
     attempt_history history_;
     request_rollout rollout_;
     request_suspicion suspicion_;
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -117,7 +117,7 @@
       rollouts_(dialect, settings.exposed_share, metrics_, rollout_hooks()),
       retries_(settings.retry_share, settings.retry_window, metrics_),
       ends_(loop, targets_, metrics_,
-            {[this](const target_life& life, std::span<const digest> requests) {
+            {[this](const target_incarnation& life, std::span<const digest> requests) {
                 suspects_->ended(life, requests);
             }}) {
     metrics_.gauge("gateway_retry_share") = settings.retry_share;
--- a/src/roles/gateway/gateway_rollouts.cpp
+++ b/src/roles/gateway/gateway_rollouts.cpp
@@ -24,9 +24,9 @@
             dialect_.write_status, hooks_.reachable});
     rollout_exchange::hooks needs;
     needs.targets_of = hooks_.targets_of;
-    needs.judge = [judge = rollout_judge(rollout_judge::settings{})](
+    needs.judge = [judge = rollout_evaluator(rollout_evaluator::settings{})](
                       const rollout_evidence& evidence, double stress) {
-        return judge.judge(evidence, stress);
+        return judge.evaluate(evidence, stress);
     };
     needs.exposed_share = exposed_share_;
     exchange_ = std::make_unique<rollout_exchange>(loop, bus, members, own, entry_, *ledger_,
--- a/src/roles/gateway/request_rollout.cpp
+++ b/src/roles/gateway/request_rollout.cpp
@@ -9,7 +9,7 @@
     service_ = service;
     request_.route = route.name;
     request_.session = session;
-    request_.lasts = is_stream(route.kind);
+    request_.streaming = is_stream(route.kind);
     may_repeat_ = may_repeat(route.kind);
     most_attempts_ = route.max_attempts;
 }
@@ -21,11 +21,11 @@
     if (gate == nullptr) {
         return limit_;
     }
-    request_.again = attempt > 1 || suspected;
+    request_.already_sent = attempt > 1 || suspected;
     // Another attempt has to be left for it.
-    request_.can_move = may_repeat_ && attempt < most_attempts_;
-    request_.in_need = false;
-    std::optional<version_constraint> limit = gate->limit_for(now, request_);
+    request_.retryable = may_repeat_ && attempt < most_attempts_;
+    request_.no_candidates = false;
+    std::optional<version_constraint> limit = gate->constraint_for(now, request_);
     limit_ = limit.value_or(version_constraint{});
     return limit;
 }
@@ -33,10 +33,10 @@
 std::optional<version_constraint> request_rollout::look_further(bool all_cold) {
     const rollout_gate* gate = rollouts_.gate_of(service_);
     const bool may_wait = all_cold && limit_.rule != version_rule::only;
-    if (gate == nullptr || may_wait || std::exchange(request_.in_need, true)) {
+    if (gate == nullptr || may_wait || std::exchange(request_.no_candidates, true)) {
         return std::nullopt;
     }
-    std::optional<version_constraint> limit = gate->limit_without_candidates(limit_);
+    std::optional<version_constraint> limit = gate->fallback_constraint(limit_);
     limit_ = limit.value_or(version_constraint{});
     return limit;
 }
@@ -50,7 +50,7 @@
     if (gate == nullptr) {
         return true;
     }
-    if (!gate->begin(now, request_, target.version, target.id)) {
+    if (!gate->begin_attempt(now, request_, target.version, target.id)) {
         return false;
     }
     order_ = gate->order().number;
@@ -62,11 +62,11 @@
 void request_rollout::join(const gateway_target* target) {
     rollout_gate* gate = rollouts_.gate_of(service_);
     const bool at_old = target != nullptr && gate != nullptr &&
-                        target->version != gate->order().version && !request_.can_move;
+                        target->version != gate->order().version && !request_.retryable;
     if (!at_old || order_ == gate->order().number) {
         return;
     }
-    gate->note_bound_to_old();
+    gate->add_pinned_request();
     order_ = gate->order().number;
     joined_ = true;
 }
@@ -88,17 +88,17 @@
     first_ = first_.value_or(now - began_);
 }
 
-void request_rollout::end(rollout_gate::answer how, std::optional<microseconds> pace) {
+void request_rollout::end(rollout_gate::outcome how, std::optional<microseconds> pace) {
     rollout_gate* gate = gate_under_way();
     order_.reset();
     if (gate == nullptr) {
         return;
     }
     if (joined_) {
-        gate->note_unbound();
+        gate->remove_pinned_request();
         return;
     }
-    gate->end(request_, version_, target_, how, first_, pace);
+    gate->end_attempt(request_, version_, target_, how, first_, pace);
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/request_rollout.hpp
+++ b/src/roles/gateway/request_rollout.hpp
@@ -44,7 +44,7 @@
     void note_first(instant now);
 
     /// The attempt under way ended. `pace` is the time from one event to the next.
-    void end(rollout_gate::answer how, std::optional<microseconds> pace = {});
+    void end(rollout_gate::outcome how, std::optional<microseconds> pace = {});
 
 private:
     /// The gate of the roll-out that the attempt under way is counted by, or null.
--- a/src/roles/gateway/request_suspicion.cpp
+++ b/src/roles/gateway/request_suspicion.cpp
@@ -15,7 +15,7 @@
     return suspects_.any() ? suspects_.held_of(fingerprint()) : suspicion::none;
 }
 
-bool request_suspicion::begin(const target_life& life) {
+bool request_suspicion::begin(const target_incarnation& life) {
     if (held() != suspicion::none) {
         if (!suspects_.begin_alone(fingerprint())) {
             return false;
--- a/src/roles/gateway/request_suspicion.hpp
+++ b/src/roles/gateway/request_suspicion.hpp
@@ -32,7 +32,7 @@
 
     /// The request is about to be sent to a target. False if it must wait for the end of another
     /// run of the same content.
-    bool begin(const target_life& life);
+    bool begin(const target_incarnation& life);
 
     /// It isn't sent there after all.
     void not_sent() {
@@ -57,7 +57,7 @@
     target_ends& ends_;
     request_content content_;
     std::optional<digest> fingerprint_;
-    target_life life_;
+    target_incarnation life_;
     bool begun_ = false;
     /// True while the run is held to be the only one of its content here.
     bool alone_ = false;
--- a/src/roles/gateway/rollout_codec.cpp
+++ b/src/roles/gateway/rollout_codec.cpp
@@ -15,8 +15,8 @@
 using bucket_counts = google::protobuf::RepeatedField<std::uint32_t>;
 
 /// The counts without the empty ones at the end.
-void write_counts(const time_counts& times, bucket_counts& message) {
-    std::size_t used = time_counts::buckets;
+void write_counts(const latency_histogram& times, bucket_counts& message) {
+    std::size_t used = latency_histogram::buckets;
     while (used > 0 && times.counts().at(used - 1) == 0) {
         --used;
     }
@@ -25,10 +25,10 @@
     }
 }
 
-time_counts read_counts(const bucket_counts& message) {
-    time_counts times;
+latency_histogram read_counts(const bucket_counts& message) {
+    latency_histogram times;
     const auto given = static_cast<std::size_t>(message.size());
-    for (std::size_t bucket = 0; bucket < std::min(time_counts::buckets, given); ++bucket) {
+    for (std::size_t bucket = 0; bucket < std::min(latency_histogram::buckets, given); ++bucket) {
         times.counts().at(bucket) = message.Get(static_cast<int>(bucket));
     }
     return times;
@@ -85,11 +85,11 @@
         counts.set_route(key.route);
         counts.set_target(key.target);
         counts.set_sent(answers.sent);
-        counts.set_well(answers.well);
-        counts.set_badly(answers.badly);
-        counts.set_silent(answers.silent);
-        write_counts(answers.first, *counts.mutable_first());
-        write_counts(answers.pace, *counts.mutable_pace());
+        counts.set_well(answers.succeeded);
+        counts.set_badly(answers.failed);
+        counts.set_silent(answers.inconclusive);
+        write_counts(answers.first_event, *counts.mutable_first());
+        write_counts(answers.event_interval, *counts.mutable_pace());
     }
     return message;
 }
@@ -108,41 +108,42 @@
     told.report.exposed = message.exposed();
     told.report.found_bad = message.found_bad();
     for (const wire::AnswerCounts& counts : message.counts()) {
-        answer_counts& answers = told.evidence.counts[{counts.route(), counts.target()}];
+        response_counts& answers = told.evidence.counts[{counts.route(), counts.target()}];
         answers.sent = counts.sent();
-        answers.well = counts.well();
-        answers.badly = counts.badly();
-        answers.silent = counts.silent();
-        answers.first = read_counts(counts.first());
-        answers.pace = read_counts(counts.pace());
+        answers.succeeded = counts.well();
+        answers.failed = counts.badly();
+        answers.inconclusive = counts.silent();
+        answers.first_event = read_counts(counts.first());
+        answers.event_interval = read_counts(counts.pace());
     }
     return told;
 }
 
-wire::RolloutStand to_wire(const rollout_stand& stand) {
+wire::RolloutStand to_wire(const rollout_directive& stand) {
     wire::RolloutStand message;
     message.set_service(stand.service);
     message.set_order(stand.order);
     message.set_version(stand.version);
     message.set_phase(to_wire(stand.phase));
-    message.set_canary_part(stand.canary_part);
+    message.set_canary_part(stand.canary_fraction);
     message.set_group_size(stand.group_size);
     message.set_group_seed(stand.group_seed);
-    message.set_left_ms(whole_milliseconds(stand.left));
-    message.set_held_for_bad(stand.held_for_bad);
+    message.set_left_ms(whole_milliseconds(stand.remaining));
+    message.set_held_for_bad(stand.version_bad);
     return message;
 }
 
-std::optional<rollout_stand> from_wire(const wire::RolloutStand& message) {
+std::optional<rollout_directive> from_wire(const wire::RolloutStand& message) {
     const std::optional<rollout_phase> phase = from_wire(message.phase());
     const double part = message.canary_part();
     if (!phase || !(part >= 0.0 && part <= 1.0)) {
         return std::nullopt;
     }
-    rollout_stand stand{message.service(),    message.order(),     message.version(), *phase, part,
-                        message.group_size(), message.group_seed()};
-    stand.left = milliseconds(message.left_ms());
-    stand.held_for_bad = message.held_for_bad();
+    rollout_directive stand{
+        message.service(),    message.order(),     message.version(), *phase, part,
+        message.group_size(), message.group_seed()};
+    stand.remaining = milliseconds(message.left_ms());
+    stand.version_bad = message.held_for_bad();
     return stand;
 }
 
--- a/src/roles/gateway/rollout_codec.hpp
+++ b/src/roles/gateway/rollout_codec.hpp
@@ -23,9 +23,9 @@
 /// Nothing if the message makes no sense.
 std::optional<told_rollout> from_wire(const wire::RolloutReport& message);
 
-wire::RolloutStand to_wire(const rollout_stand& stand);
+wire::RolloutStand to_wire(const rollout_directive& stand);
 
 /// Nothing if the message makes no sense, or has a phase that this release doesn't know.
-std::optional<rollout_stand> from_wire(const wire::RolloutStand& message);
+std::optional<rollout_directive> from_wire(const wire::RolloutStand& message);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/rollout_desk.cpp
+++ b/src/roles/gateway/rollout_desk.cpp
@@ -54,11 +54,12 @@
         return false;
     }
     const rollout_report report = told.report;
-    found->second.decider.take(now, told.process, report, std::move(told.evidence));
+    found->second.decider.record_report(now, told.process, report, std::move(told.evidence));
     return report.found_bad || report.moved;
 }
 
-const rollout_stand* rollout_desk::stand_of(std::string_view service, std::uint64_t order) const {
+const rollout_directive* rollout_desk::stand_of(std::string_view service,
+                                                std::uint64_t order) const {
     const auto found = services_.find(service);
     if (found == services_.end() || !found->second.stand || found->second.stand->order != order) {
         return nullptr;
@@ -66,8 +67,8 @@
     return &*found->second.stand;
 }
 
-std::vector<rollout_stand> rollout_desk::stands() const {
-    std::vector<rollout_stand> all;
+std::vector<rollout_directive> rollout_desk::stands() const {
+    std::vector<rollout_directive> all;
     for (const auto& [service, desk] : services_) {
         if (desk.stand) {
             all.push_back(*desk.stand);
@@ -105,10 +106,10 @@
                               std::span<const ledger_member> members, microseconds report_period) {
     const rollout_order& order = desk.decider.order();
     if (const rollout_record* record = ledger_.table().find(order.service)) {
-        desk.decider.recorded(now, *record);
+        desk.decider.apply_record(now, *record);
     }
     if (hooks_.is_withdrawn(order)) {
-        desk.decider.stop("withdrawn by the operator");
+        desk.decider.request_rollback("withdrawn by the operator");
     }
     std::vector<incarnation_id> processes;
     processes.reserve(members.size());
@@ -118,71 +119,73 @@
     const rollout_target_numbers targets = hooks_.targets_of(order);
     const rollout_decision decision = desk.decider.decide(
         now, {targets.old_version, targets.new_version, processes, report_period});
-    if (decision.wanted) {
-        ledger_.propose(*decision.wanted);
+    if (decision.record_to_append) {
+        ledger_.propose(*decision.record_to_append);
     }
     note(now, desk, decision, members, report_period);
     const bool changed =
-        decision.stand && (!desk.stand || desk.stand->phase != decision.stand->phase);
-    desk.stand = decision.stand;
+        decision.directive && (!desk.stand || desk.stand->phase != decision.directive->phase);
+    desk.stand = decision.directive;
     if (changed) {
         hooks_.phase_changed(*desk.stand);
     }
 }
 
-void rollout_desk::set_gauges(service_desk& desk, const rollout_sums& sums) {
+void rollout_desk::set_gauges(service_desk& desk, const rollout_totals& sums) {
     const metric_label service{"service", desk.decider.order().service};
     counters_.gauge(labelled("rollout_all_reached", {service})) = static_cast<double>(sums.reached);
     counters_.gauge(labelled("rollout_all_exposed", {service})) = static_cast<double>(sums.exposed);
     counters_.gauge(labelled("rollout_all_bad_answers", {service})) =
-        static_cast<double>(sums.evidence.of_new_version().badly);
+        static_cast<double>(sums.evidence.of_new_version().failed);
     counters_.gauge(labelled("rollout_all_reporters", {service})) =
-        static_cast<double>(sums.reporters - sums.stale);
+        static_cast<double>(sums.reporters - sums.stale_reporters);
 }
 
 /// One line for each change of phase and each end that is wanted.
 void rollout_desk::note(instant now, service_desk& desk, const rollout_decision& decision,
                         std::span<const ledger_member> members, microseconds report_period) {
     const bool phase_is_new =
-        decision.stand && (!desk.stand || desk.stand->phase != decision.stand->phase);
-    const bool wants_end = decision.wanted && decision.wanted->state != rollout_state::running;
-    const bool end_is_new = wants_end && desk.told_end != decision.wanted->state;
+        decision.directive && (!desk.stand || desk.stand->phase != decision.directive->phase);
+    const bool wants_end =
+        decision.record_to_append && decision.record_to_append->state != rollout_state::running;
+    const bool end_is_new = wants_end && desk.told_end != decision.record_to_append->state;
     if (!phase_is_new && !end_is_new && now - desk.gauges_set < gauges_every) {
         return;
     }
     const rollout_order& order = desk.decider.order();
-    const rollout_sums sums = desk.decider.sums(now, report_period);
+    const rollout_totals sums = desk.decider.totals(now, report_period);
     desk.gauges_set = now;
     set_gauges(desk, sums);
     if (!phase_is_new && !end_is_new) {
         return;
     }
-    const answer_counts of_new = sums.evidence.of_new_version();
-    const answer_counts of_old = sums.evidence.of_old_version();
+    const response_counts of_new = sums.evidence.of_new_version();
+    const response_counts of_old = sums.evidence.of_old_version();
     if (end_is_new) {
-        desk.told_end = decision.wanted->state;
+        desk.told_end = decision.record_to_append->state;
     }
     counters_.counter("rollout_decisions_total") += 1;
-    log_event(log_level::information, "rollout_decided",
-              {{"service", order.service},
-               {"order", std::to_string(order.number)},
-               {"version", order.version},
-               {"phase", decision.stand ? name_of(decision.stand->phase) : "unsaid"},
-               {"wanted", wants_end ? name_of(decision.wanted->state) : "no_end"},
-               {"reason", wants_end ? decision.wanted->reason : decision.verdict.reason},
-               {"left_ms", millis_text(desk.decider.duration() - desk.decider.elapsed(now))},
-               {"new_sent", std::to_string(of_new.sent)},
-               {"new_well", std::to_string(of_new.well)},
-               {"new_badly", std::to_string(of_new.badly)},
-               {"old_sent", std::to_string(of_old.sent)},
-               {"old_well", std::to_string(of_old.well)},
-               {"old_badly", std::to_string(of_old.badly)},
-               {"exposed", std::to_string(sums.exposed)},
-               {"reached", std::to_string(sums.reached)},
-               {"reporters", std::to_string(sums.reporters)},
-               {"stale_reporters", std::to_string(sums.stale)},
-               {"greatest_age_ms", millis_text(sums.greatest_age)},
-               {"unreached", hosts_of(decision.unreached, members)}});
+    log_event(
+        log_level::information, "rollout_decided",
+        {{"service", order.service},
+         {"order", std::to_string(order.number)},
+         {"version", order.version},
+         {"phase", decision.directive ? name_of(decision.directive->phase) : "unsaid"},
+         {"wanted", wants_end ? name_of(decision.record_to_append->state) : "no_end"},
+         {"reason", wants_end ? decision.record_to_append->reason : decision.evaluation.reason},
+         {"left_ms", millis_text(desk.decider.duration() - desk.decider.elapsed(now))},
+         {"new_sent", std::to_string(of_new.sent)},
+         {"new_well", std::to_string(of_new.succeeded)},
+         {"new_badly", std::to_string(of_new.failed)},
+         {"old_sent", std::to_string(of_old.sent)},
+         {"old_well", std::to_string(of_old.succeeded)},
+         {"old_badly", std::to_string(of_old.failed)},
+         {"exposed", std::to_string(sums.exposed)},
+         {"reached", std::to_string(sums.reached)},
+         {"reporters", std::to_string(sums.reporters)},
+         {"stale_reporters", std::to_string(sums.stale_reporters)},
+         {"greatest_age_ms", millis_text(sums.max_report_age)},
+         {"unreached", hosts_of(decision.unreachable, members)}});
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/rollout_desk.hpp
+++ b/src/roles/gateway/rollout_desk.hpp
@@ -28,11 +28,11 @@
 public:
     struct hooks {
         std::function<rollout_target_numbers(const rollout_order& order)> targets_of;
-        rollout_decider::judge_hook judge;
+        rollout_decider::evaluate_hook judge;
         /// True if the operator has taken this order back.
         std::function<bool(const rollout_order& order)> is_withdrawn;
         /// The word on a service changed in what entries must know at once.
-        std::function<void(const rollout_stand& stand)> phase_changed;
+        std::function<void(const rollout_directive& stand)> phase_changed;
     };
 
     rollout_desk(incarnation_id own, double exposed_share, rollout_ledger& ledger,
@@ -49,10 +49,10 @@
     void decide(instant now, std::span<const ledger_member> members, microseconds report_period);
 
     /// The word on a service as it was last decided here.
-    const rollout_stand* stand_of(std::string_view service, std::uint64_t order) const;
+    const rollout_directive* stand_of(std::string_view service, std::uint64_t order) const;
 
     /// The words that were decided last.
-    std::vector<rollout_stand> stands() const;
+    std::vector<rollout_directive> stands() const;
 
     /// True while an end is near, so that it pays to look often.
     bool is_moving() const;
@@ -60,7 +60,7 @@
 private:
     struct service_desk {
         rollout_decider decider;
-        std::optional<rollout_stand> stand;
+        std::optional<rollout_directive> stand;
         /// The end that was told of in the log of lines.
         std::optional<rollout_state> told_end;
         instant gauges_set{};
@@ -69,7 +69,7 @@
     void decide_one(instant now, service_desk& desk, std::span<const ledger_member> members,
                     microseconds report_period);
     void publish(const rollout_order& order);
-    void set_gauges(service_desk& desk, const rollout_sums& sums);
+    void set_gauges(service_desk& desk, const rollout_totals& sums);
     void note(instant now, service_desk& desk, const rollout_decision& decision,
               std::span<const ledger_member> members, microseconds report_period);
 
--- a/src/roles/gateway/rollout_exchange.cpp
+++ b/src/roles/gateway/rollout_exchange.cpp
@@ -75,7 +75,7 @@
           counters(of_counters),
           desk(own, needs.exposed_share, ledger, counters,
                {std::move(needs.targets_of), std::move(needs.judge), rollouts.is_withdrawn,
-                [this](const rollout_stand& stand) { tell_all(stand); }}) {}
+                [this](const rollout_directive& stand) { tell_all(stand); }}) {}
 
     ~state() { *alive = false; }
     state(const state&) = delete;
@@ -233,13 +233,13 @@
 
     void decide(instant now) {
         desk.decide(now, members.largest_of_all(members.members()), report_period());
-        for (const rollout_stand& stand : desk.stands()) {
+        for (const rollout_directive& stand : desk.stands()) {
             rollouts.told(now, stand);
         }
     }
 
     /// Tells all processes that reported of late of a change.
-    void tell_all(const rollout_stand& stand) {
+    void tell_all(const rollout_directive& stand) {
         const instant now = monotonic_now();
         std::erase_if(reporters,
                       [&](const auto& each) { return now - each.second.heard > told_for; });
@@ -292,10 +292,10 @@
 
     /// The stand, or one without a version, which says only that this process is there.
     void answer(const message_origin& origin, const std::string& service, std::uint64_t order) {
-        rollout_stand nothing;
+        rollout_directive nothing;
         nothing.service = service;
         nothing.order = order;
-        const rollout_stand* stand = is_decider ? desk.stand_of(service, order) : nullptr;
+        const rollout_directive* stand = is_decider ? desk.stand_of(service, order) : nullptr;
         wire::Envelope message;
         *message.mutable_rollout_stand() = to_wire(stand != nullptr ? *stand : nothing);
         bus.answer(origin, message);
@@ -309,7 +309,7 @@
     }
 
     /// How a version is used is the word of the one that the log names; anyone may stop it.
-    bool counts(const rollout_stand& stand) const {
+    bool counts(const rollout_directive& stand) const {
         const bool uses =
             stand.phase == rollout_phase::canary || stand.phase == rollout_phase::moving;
         return !uses || follows_owner(stand.service, stand.order);
@@ -318,7 +318,7 @@
     /// Only the word of the decider that this process follows counts: one that froze and wakes may
     /// say what is long past.
     void on_stand(const message_origin& origin, const wire::RolloutStand& message) {
-        const std::optional<rollout_stand> stand = from_wire(message);
+        const std::optional<rollout_directive> stand = from_wire(message);
         if (!stand) {
             counters.counter("rollout_messages_damaged_total") += 1;
             return;
--- a/src/roles/gateway/rollout_exchange.hpp
+++ b/src/roles/gateway/rollout_exchange.hpp
@@ -22,7 +22,7 @@
 public:
     struct hooks {
         std::function<rollout_target_numbers(const rollout_order& order)> targets_of;
-        rollout_decider::judge_hook judge;
+        rollout_decider::evaluate_hook judge;
         /// The share of a service's requests that a version may get which isn't proved.
         double exposed_share = 0.0;
     };
@@ -31,7 +31,7 @@
     struct own_rollouts {
         std::function<std::vector<rollout_order>()> orders;
         std::function<std::vector<entry_rollouts::told_evidence>(instant now)> reports;
-        std::function<void(instant now, const rollout_stand& stand)> told;
+        std::function<void(instant now, const rollout_directive& stand)> told;
         std::function<bool(const rollout_order& order)> is_withdrawn;
     };
 
@@ -63,14 +63,15 @@
 
 private:
     static own_rollouts view_of(entry_rollouts& rollouts) {
-        return {[&rollouts] { return rollouts.orders(); },
-                [&rollouts](instant now) { return rollouts.reports(now); },
-                [&rollouts](instant now, const rollout_stand& stand) { rollouts.told(now, stand); },
-                [&rollouts](const rollout_order& order) {
-                    const rollout_gate* gate = rollouts.gate_of(order.service);
-                    return gate != nullptr && gate->order().number == order.number &&
-                           gate->stand().phase == rollout_phase::rolled_back;
-                }};
+        return {
+            [&rollouts] { return rollouts.orders(); },
+            [&rollouts](instant now) { return rollouts.reports(now); },
+            [&rollouts](instant now, const rollout_directive& stand) { rollouts.told(now, stand); },
+            [&rollouts](const rollout_order& order) {
+                const rollout_gate* gate = rollouts.gate_of(order.service);
+                return gate != nullptr && gate->order().number == order.number &&
+                       gate->directive().phase == rollout_phase::rolled_back;
+            }};
     }
 
     struct state;
--- a/src/roles/gateway/signal_exchange.cpp
+++ b/src/roles/gateway/signal_exchange.cpp
@@ -71,7 +71,7 @@
     *alive_ = false;
 }
 
-void signal_exchange::heard(instant now, const target_life& life, instant sent,
+void signal_exchange::heard(instant now, const target_incarnation& life, instant sent,
                             std::string_view request, const target_signals& signals) {
     const gateway_target* target = targets_.find(life.target);
     if (target == nullptr || life_of(*target) != life) {
@@ -87,7 +87,7 @@
     }
 }
 
-void signal_exchange::leaving_heard(instant now, const target_life& life,
+void signal_exchange::leaving_heard(instant now, const target_incarnation& life,
                                     std::string_view request) {
     if (!targets_.mark_draining(life.target)) {
         return;
@@ -100,8 +100,8 @@
     tell_soon(life.target);
 }
 
-void signal_exchange::rest_heard(instant now, const target_life& life, std::string_view request,
-                                 const target_signals& signals) {
+void signal_exchange::rest_heard(instant now, const target_incarnation& life,
+                                 std::string_view request, const target_signals& signals) {
     if (!signals.unreadable_backoff.empty()) {
         counters_.counter("gateway_target_rests_unreadable_total") += 1;
         events_.routine("target_rest_unreadable",
@@ -120,7 +120,7 @@
                                           {"load", targets_.describe(now, life.target)}});
 }
 
-void signal_exchange::limit_heard(instant now, const target_life& life, instant sent,
+void signal_exchange::limit_heard(instant now, const target_incarnation& life, instant sent,
                                   std::string_view request, const target_signals& signals) {
     if (!signals.unreadable_limit.empty()) {
         counters_.counter("gateway_target_limits_unreadable_total") += 1;
