--- a/src/roles/gateway/signal_exchange.hpp
+++ b/src/roles/gateway/signal_exchange.hpp
@@ -39,7 +39,7 @@
 
     /// An answer of this life of a target came to a request that was sent then. What a life says
     /// that has ended meanwhile counts no more.
-    void heard(instant now, const target_life& life, instant sent, std::string_view request,
+    void heard(instant now, const target_incarnation& life, instant sent, std::string_view request,
                const target_signals& signals);
 
     /// A request goes to a target.
@@ -52,10 +52,10 @@
     void tick(instant now);
 
 private:
-    void limit_heard(instant now, const target_life& life, instant sent, std::string_view request,
-                     const target_signals& signals);
-    void leaving_heard(instant now, const target_life& life, std::string_view request);
-    void rest_heard(instant now, const target_life& life, std::string_view request,
+    void limit_heard(instant now, const target_incarnation& life, instant sent,
+                     std::string_view request, const target_signals& signals);
+    void leaving_heard(instant now, const target_incarnation& life, std::string_view request);
+    void rest_heard(instant now, const target_incarnation& life, std::string_view request,
                     const target_signals& signals);
     void signals_told(instant now, const wire::TargetSignals& news);
     void limit_told(instant now, const wire::TargetSignal& word);
--- a/src/roles/gateway/suspect_exchange.cpp
+++ b/src/roles/gateway/suspect_exchange.cpp
@@ -28,27 +28,27 @@
 /// Messages come from other processes of the fleet, and may be damaged all the same.
 constexpr int most_ends_in_a_message = 256;
 
-wire::SuspectEnd to_wire(const suspect_end& end) {
+wire::SuspectEnd to_wire(const crash_evidence& end) {
     wire::SuspectEnd message;
     message.set_request_high(end.request.high);
     message.set_request_low(end.request.low);
-    message.set_target(end.life.target);
-    message.set_started(end.life.started);
+    message.set_target(end.incarnation.target);
+    message.set_started(end.incarnation.started);
     return message;
 }
 
-wire::Envelope news_of(std::span<const suspect_end> ends, bool cleared) {
+wire::Envelope news_of(std::span<const crash_evidence> ends, bool cleared) {
     wire::Envelope message;
     wire::SuspectNews& news = *message.mutable_suspect_news();
     news.set_cleared(cleared);
     const std::size_t told = std::min<std::size_t>(ends.size(), most_ends_in_a_message);
-    for (const suspect_end& end : ends.first(told)) {
+    for (const crash_evidence& end : ends.first(told)) {
         *news.add_ends() = to_wire(end);
     }
     return message;
 }
 
-suspect_end from_wire(const wire::SuspectEnd& message) {
+crash_evidence from_wire(const wire::SuspectEnd& message) {
     return {{message.request_high(), message.request_low()}, {message.target(), message.started()}};
 }
 
@@ -63,13 +63,13 @@
       counters_(counters),
       hooks_(std::move(called)),
       log_(loop, log, std::move(log_name), members.own_host(), counters,
-           {[this](const suspect_end& end) {
+           {[this](const crash_evidence& end) {
                 if (!learn(end, "log")) {
                     see_to_drop(end);
                 }
             },
-            [this](const suspect_end& end) { forget(end, "log"); },
-            [this](std::span<const suspect_end> ends) { tell_unwritten(ends); },
+            [this](const crash_evidence& end) { forget(end, "log"); },
+            [this](std::span<const crash_evidence> ends) { tell_unwritten(ends); },
             [this](bool reachable) { hooks_.log_reachable(reachable); }}) {}
 
 suspect_exchange::~suspect_exchange() {
@@ -77,14 +77,14 @@
 }
 
 suspicion suspect_exchange::held_of(const digest& request) const {
-    return any() ? table_.held_of(monotonic_now(), request) : suspicion::none;
+    return any() ? table_.suspicion_of(monotonic_now(), request) : suspicion::none;
 }
 
-void suspect_exchange::ended(const target_life& life, std::span<const digest> requests) {
-    std::vector<suspect_end> news;
-    std::vector<suspect_end> urgent;
+void suspect_exchange::ended(const target_incarnation& life, std::span<const digest> requests) {
+    std::vector<crash_evidence> news;
+    std::vector<crash_evidence> urgent;
     for (const digest& request : requests) {
-        const suspect_end end{request, life};
+        const crash_evidence end{request, life};
         if (!learn(end, "own run")) {
             continue;
         }
@@ -101,9 +101,9 @@
 
 /// A dark log takes nothing and tells nobody. Each end is told once, by the one that saw it: a
 /// fleet of 340 entries that all told all they knew would send 115,000 messages a time.
-void suspect_exchange::tell_unwritten(std::span<const suspect_end> ends) {
-    std::vector<suspect_end> unknown;
-    for (const suspect_end& end : ends) {
+void suspect_exchange::tell_unwritten(std::span<const crash_evidence> ends) {
+    std::vector<crash_evidence> unknown;
+    for (const crash_evidence& end : ends) {
         if (untold_.erase(end) > 0) {
             unknown.push_back(end);
         }
@@ -112,22 +112,22 @@
 }
 
 bool suspect_exchange::is_urgent(const digest& request) const {
-    return table_.ends_of(request) >= urgent_ends;
+    return table_.crash_count(request) >= urgent_ends;
 }
 
 bool suspect_exchange::is_told(const digest& request) const {
-    return table_.ends_of(request) >= told_ends;
+    return table_.crash_count(request) >= told_ends;
 }
 
 /// A request that has ended well of late stood beside. Without this, callers that repeat one poll
 /// at many targets would have it quarantined when three of them end in the same moment.
-bool suspect_exchange::learn(const suspect_end& end, std::string_view source) {
+bool suspect_exchange::learn(const crash_evidence& end, std::string_view source) {
     const instant now = monotonic_now();
     if (table_.is_proven(now, end.request)) {
         counters_.counter("gateway_suspects_proven_total") += 1;
         return false;
     }
-    const suspicion before = table_.held_of(now, end.request);
+    const suspicion before = table_.suspicion_of(now, end.request);
     if (!table_.add(now, end)) {
         return true;
     }
@@ -135,10 +135,10 @@
     if (is_told(end.request)) {
         log_event(log_level::information, "request_suspected",
                   {{"fingerprint", end.request.to_hex()},
-                   {"held", std::string(name_of(table_.held_of(now, end.request)))},
-                   {"ends", std::to_string(table_.ends_of(end.request))},
-                   {"target", end.life.target},
-                   {"started", std::to_string(end.life.started)},
+                   {"held", std::string(name_of(table_.suspicion_of(now, end.request)))},
+                   {"ends", std::to_string(table_.crash_count(end.request))},
+                   {"target", end.incarnation.target},
+                   {"started", std::to_string(end.incarnation.started)},
                    {"known_from", std::string(source)}});
     }
     quarantine_if_due(end.request, before);
@@ -152,7 +152,7 @@
     counters_.counter("gateway_requests_quarantined_total") += 1;
     log_event(
         log_level::warning, "request_quarantined",
-        {{"fingerprint", request.to_hex()}, {"ends", std::to_string(table_.ends_of(request))}});
+        {{"fingerprint", request.to_hex()}, {"ends", std::to_string(table_.crash_count(request))}});
     loop_.call_after(microseconds(0), [this, request, alive = alive_] {
         if (*alive) {
             hooks_.quarantined(request);
@@ -174,16 +174,16 @@
 
 /// Whoever saw an end may be gone before the log takes it. Without this, an entry that started when
 /// a dark log was back sent a request to a fourth target that two others held in quarantine.
-void suspect_exchange::see_to_log(const suspect_end& end) {
+void suspect_exchange::see_to_log(const crash_evidence& end) {
     after_writer([this, end] {
-        if (!log_.holds(end) && table_.holds(end)) {
+        if (!log_.holds(end) && table_.contains(end)) {
             log_.add({&end, 1});
         }
     });
 }
 
 /// Only this entry may know that the request has ended well.
-void suspect_exchange::see_to_drop(const suspect_end& end) {
+void suspect_exchange::see_to_drop(const crash_evidence& end) {
     after_writer([this, end] {
         if (log_.holds(end)) {
             log_.drop({&end, 1});
@@ -191,7 +191,7 @@
     });
 }
 
-void suspect_exchange::forget(const suspect_end& end, std::string_view source) {
+void suspect_exchange::forget(const crash_evidence& end, std::string_view source) {
     const suspicion before = held_of(end.request);
     const bool told = is_told(end.request);
     if (!table_.remove(end) || !told) {
@@ -200,8 +200,8 @@
     log_event(log_level::information, "request_end_taken_back",
               {{"fingerprint", end.request.to_hex()},
                {"held_before", std::string(name_of(before))},
-               {"ends", std::to_string(table_.ends_of(end.request))},
-               {"target", end.life.target},
+               {"ends", std::to_string(table_.crash_count(end.request))},
+               {"target", end.incarnation.target},
                {"known_from", std::string(source)}});
 }
 
@@ -209,7 +209,7 @@
     const bool urgent = is_urgent(request) || !log_.reachable();
     const bool told = is_told(request);
     const suspicion before = held_of(request);
-    const std::vector<suspect_end> cleared = table_.ended_well(monotonic_now(), request);
+    const std::vector<crash_evidence> cleared = table_.record_success(monotonic_now(), request);
     if (cleared.empty()) {
         return;
     }
@@ -226,7 +226,7 @@
     }
 }
 
-void suspect_exchange::tell_others(std::span<const suspect_end> ends, bool cleared) {
+void suspect_exchange::tell_others(std::span<const crash_evidence> ends, bool cleared) {
     if (ends.empty()) {
         return;
     }
@@ -262,7 +262,7 @@
     return true;
 }
 
-void suspect_exchange::take_news(const message_origin& origin, const suspect_end& end) {
+void suspect_exchange::take_news(const message_origin& origin, const crash_evidence& end) {
     if (learn(end, "other entry")) {
         see_to_log(end);
         return;
@@ -278,9 +278,10 @@
         return;
     }
     dropped_at_ = now;
-    std::erase_if(untold_,
-                  [this](const suspect_end& end) { return log_.holds(end) || !table_.holds(end); });
-    const std::vector<suspect_end> dropped = table_.drop_old(now);
+    std::erase_if(untold_, [this](const crash_evidence& end) {
+        return log_.holds(end) || !table_.contains(end);
+    });
+    const std::vector<crash_evidence> dropped = table_.evict_expired(now);
     if (dropped.empty()) {
         return;
     }
--- a/src/roles/gateway/suspect_exchange.hpp
+++ b/src/roles/gateway/suspect_exchange.hpp
@@ -42,7 +42,7 @@
     bool ready() const { return log_.live() || !log_.reachable(); }
 
     /// A target's life ended while these requests were under way at it from this entry.
-    void ended(const target_life& life, std::span<const digest> requests);
+    void ended(const target_incarnation& life, std::span<const digest> requests);
 
     /// A request of this entry's ended well.
     void ended_well(const digest& request);
@@ -51,7 +51,7 @@
     bool any() const { return table_.size() > 0; }
 
     suspicion held_of(const digest& request) const;
-    std::size_t ends_of(const digest& request) const { return table_.ends_of(request); }
+    std::size_t ends_of(const digest& request) const { return table_.crash_count(request); }
 
     /// A suspected request is about to be sent. False if it is under way from this entry already:
     /// until it is known whether that ends its target, it goes nowhere else.
@@ -66,15 +66,15 @@
 
 private:
     /// False if the request has ended well here of late, so that nothing is held against it.
-    bool learn(const suspect_end& end, std::string_view source);
+    bool learn(const crash_evidence& end, std::string_view source);
     void quarantine_if_due(const digest& request, suspicion before);
-    void take_news(const message_origin& origin, const suspect_end& end);
-    void forget(const suspect_end& end, std::string_view source);
-    void see_to_log(const suspect_end& end);
-    void see_to_drop(const suspect_end& end);
+    void take_news(const message_origin& origin, const crash_evidence& end);
+    void forget(const crash_evidence& end, std::string_view source);
+    void see_to_log(const crash_evidence& end);
+    void see_to_drop(const crash_evidence& end);
     void after_writer(std::function<void()> action);
-    void tell_unwritten(std::span<const suspect_end> ends);
-    void tell_others(std::span<const suspect_end> ends, bool cleared);
+    void tell_unwritten(std::span<const crash_evidence> ends);
+    void tell_others(std::span<const crash_evidence> ends, bool cleared);
     bool is_urgent(const digest& request) const;
     bool is_told(const digest& request) const;
 
@@ -88,7 +88,7 @@
     suspect_log log_;
     std::set<digest> alone_;
     /// Ends that this entry saw and nobody else knows of yet, as far as it can tell.
-    std::set<suspect_end> untold_;
+    std::set<crash_evidence> untold_;
     instant dropped_at_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/roles/gateway/target_ends.cpp
+++ b/src/roles/gateway/target_ends.cpp
@@ -38,18 +38,18 @@
 
 }  // namespace
 
-target_life life_of(const gateway_target& target) {
+target_incarnation life_of(const gateway_target& target) {
     return {target.id, target.started.value_or(0)};
 }
 
 /// A target that leaves, or left the list, ends as planned.
-void target_ends::broke(instant now, const target_life& life, const digest& request) {
+void target_ends::broke(instant now, const target_incarnation& life, const digest& request) {
     counters_.counter("gateway_runs_broken_total") += 1;
     const gateway_target* target = targets_.find(life.target);
     if (target == nullptr || target->draining || !targets_.is_listed(life.target)) {
         return;
     }
-    runs_.broke(now, life, request);
+    runs_.record_interrupted(now, life, request);
     if (target->started.value_or(0) > life.started) {
         end(life, "restarted");
         return;
@@ -63,7 +63,7 @@
     }
 }
 
-void target_ends::ask(const target_life& life) {
+void target_ends::ask(const target_incarnation& life) {
     const gateway_target* target = targets_.find(life.target);
     const result<http_address> address =
         http_address::parse(target == nullptr ? std::string_view{} : target->address);
@@ -78,7 +78,7 @@
         [this, life](probe_answer answer) { answered(life, answer); });
 }
 
-void target_ends::answered(const target_life& life, probe_answer answer) {
+void target_ends::answered(const target_incarnation& life, probe_answer answer) {
     const auto found = questions_.find(life);
     if (found == questions_.end()) {
         return;
@@ -89,7 +89,7 @@
                      [kept = std::shared_ptr<connection_probe>(std::move(about.probe))] {});
     about.accepted = answer == probe_answer::accepted;
     about.refusals += answer == probe_answer::refused ? 1 : 0;
-    if (answer != probe_answer::refused || !runs_.has_broken(life)) {
+    if (answer != probe_answer::refused || !runs_.has_interrupted(life)) {
         return;
     }
     if (about.refusals >= refusals_of_an_end) {
@@ -97,25 +97,25 @@
         return;
     }
     loop_.call_after(between_probes, [this, life, alive = alive_] {
-        if (*alive && runs_.has_broken(life) && questions_.contains(life)) {
+        if (*alive && runs_.has_interrupted(life) && questions_.contains(life)) {
             ask(life);
         }
     });
 }
 
-void target_ends::heard(instant now, const target_life& life) {
+void target_ends::heard(instant now, const target_incarnation& life) {
     if (questions_.empty()) {
         return;
     }
     const auto found = questions_.find(life);
     if (found != questions_.end() && now - found->second.broke > longest_unread) {
         questions_.erase(found);
-        runs_.lives(life);
+        runs_.discard(life);
     }
 }
 
 void target_ends::unlisted(const std::string& id) {
-    for (const target_life& life : runs_.broken_lives(id)) {
+    for (const target_incarnation& life : runs_.interrupted_incarnations(id)) {
         const auto found = questions_.find(life);
         const bool listens = found != questions_.end() && found->second.accepted;
         if (!listens) {
@@ -125,13 +125,13 @@
 }
 
 void target_ends::restarted(const std::string& id) {
-    for (const target_life& life : runs_.broken_lives(id)) {
+    for (const target_incarnation& life : runs_.interrupted_incarnations(id)) {
         end(life, "restarted");
     }
 }
 
-void target_ends::end(const target_life& life, std::string_view seen_by) {
-    const std::vector<digest> requests = runs_.take_ended(life);
+void target_ends::end(const target_incarnation& life, std::string_view seen_by) {
+    const std::vector<digest> requests = runs_.take_in_flight(life);
     questions_.erase(life);
     if (requests.empty()) {
         return;
@@ -147,9 +147,9 @@
 }
 
 void target_ends::tick(instant now) {
-    runs_.forget_old(now);
+    runs_.discard_expired(now);
     std::erase_if(questions_, [&](const auto& each) {
-        return each.second.probe == nullptr && !runs_.has_broken(each.first);
+        return each.second.probe == nullptr && !runs_.has_interrupted(each.first);
     });
 }
 
--- a/src/roles/gateway/target_ends.hpp
+++ b/src/roles/gateway/target_ends.hpp
@@ -16,7 +16,7 @@
 namespace wrenswitch {
 
 /// The life of a target as the list has it.
-target_life life_of(const gateway_target& target);
+target_incarnation life_of(const gateway_target& target);
 
 /// Finds out whether a target whose runs broke off has ended, and under which requests. A broken
 /// run looks the same whether the target ended, its connection was reset or its answer was garbled.
@@ -26,7 +26,7 @@
 public:
     struct hooks {
         /// A life of a target ended while these requests were under way at it from this process.
-        std::function<void(const target_life& life, std::span<const digest> requests)> ended;
+        std::function<void(const target_incarnation& life, std::span<const digest> requests)> ended;
     };
 
     /// All that is referred to must outlive this.
@@ -34,16 +34,16 @@
         : loop_(loop), targets_(targets), counters_(counters), hooks_(std::move(called)) {}
 
     /// The connection of a run at this life ended before the answer did.
-    void broke(instant now, const target_life& life, const digest& request);
+    void broke(instant now, const target_incarnation& life, const digest& request);
 
     /// This process ended a run there by itself before its answer did.
-    void left(instant now, const target_life& life, const digest& request) {
-        runs_.left(now, life, request);
+    void left(instant now, const target_incarnation& life, const digest& request) {
+        runs_.record_cancelled(now, life, request);
     }
 
     /// Something of this life of a target came. It goes on, unless that lay unread since before
     /// the break.
-    void heard(instant now, const target_life& life);
+    void heard(instant now, const target_incarnation& life);
 
     /// The list has this target no more, or with a later start.
     void unlisted(const std::string& id);
@@ -63,16 +63,16 @@
         std::optional<instant> asked;
     };
 
-    void ask(const target_life& life);
-    void answered(const target_life& life, probe_answer answer);
-    void end(const target_life& life, std::string_view seen_by);
+    void ask(const target_incarnation& life);
+    void answered(const target_incarnation& life, probe_answer answer);
+    void end(const target_incarnation& life, std::string_view seen_by);
 
     event_loop& loop_;
     const target_pool& targets_;
     metrics& counters_;
     hooks hooks_;
-    broken_runs runs_;
-    std::map<target_life, question> questions_;
+    interrupted_attempts runs_;
+    std::map<target_incarnation, question> questions_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/decision/rollout/exposure_budget_test.cpp
+++ b/tests/decision/rollout/exposure_budget_test.cpp
@@ -13,12 +13,12 @@
     BOOST_TEST(!budget.may_send());
 }
 
-BOOST_AUTO_TEST_CASE(part_of_a_budget_is_used_up_before_the_whole) {
+BOOST_AUTO_TEST_CASE(fraction_of_budget_exhausted_before_whole_budget) {
     exposure_budget budget(0.1);
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int request = 0; request < 100; ++request) {
         budget.note_reached();
     }
-    for (int turn = 0; turn < 4; ++turn) {
+    for (int request = 0; request < 4; ++request) {
         BOOST_TEST(budget.may_send(0.4));
         budget.note_sent();
     }
@@ -26,14 +26,14 @@
     BOOST_TEST(budget.may_send());
 }
 
-/// Entries are lost and begin anew at any moment; those that went to the new version are kept by
-/// the targets, which forget nothing.
-BOOST_AUTO_TEST_CASE(share_holds_over_all_processes_that_ever_were) {
+/// Entries restart at random and lose their counts; requests already sent to the new version still
+/// count. The sum over all of them must stay within the share.
+BOOST_AUTO_TEST_CASE(restarted_processes_keep_exposed_share_within_bound) {
     std::mt19937 random(5);
     std::vector<exposure_budget> entries(40, exposure_budget(0.09));
-    std::uint64_t all = 0;
+    std::uint64_t total = 0;
     std::uint64_t exposed = 0;
-    for (int turn = 0; turn < 200'000; ++turn) {
+    for (int request = 0; request < 200'000; ++request) {
         exposure_budget& entry = entries[random() % entries.size()];
         if (random() % 500 == 0) {
             entry = exposure_budget(0.09);
@@ -42,12 +42,12 @@
             entry.note_sent();
             exposed += 1;
         }
-        all += 1;
-        // Some are never seen to arrive.
+        total += 1;
+        // Some requests are never seen to reach a target.
         if (random() % 10 != 0) {
             entry.note_reached();
         }
-        BOOST_REQUIRE(static_cast<double>(exposed) <= 0.09 * static_cast<double>(all));
+        BOOST_REQUIRE(static_cast<double>(exposed) <= 0.09 * static_cast<double>(total));
     }
     BOOST_TEST(exposed > 5000U);
 }
--- a/tests/decision/rollout/rollout_evidence_test.cpp
+++ b/tests/decision/rollout/rollout_evidence_test.cpp
@@ -8,78 +8,78 @@
 
 BOOST_AUTO_TEST_SUITE(rollout_evidence_test)
 
-BOOST_AUTO_TEST_CASE(times_fall_into_bucket_whose_bound_they_reach) {
-    BOOST_TEST(time_counts::bucket_of(microseconds(0)) == 0U);
-    BOOST_TEST(time_counts::bucket_of(milliseconds(1)) == 0U);
-    BOOST_TEST(time_counts::bucket_of(microseconds(1001)) == 1U);
-    BOOST_TEST(time_counts::bucket_of(microseconds(1500)) == 1U);
-    BOOST_TEST(time_counts::bucket_of(microseconds(2251)) == 3U);
-    BOOST_TEST(time_counts::bucket_of(seconds(3600)) == time_counts::buckets - 1);
-    BOOST_TEST(time_counts::bound_ms(2) == 2.25);
-    BOOST_TEST(time_counts::bound_ms(time_counts::buckets - 1) > 11'000.0);
+BOOST_AUTO_TEST_CASE(latency_up_to_bound_falls_into_that_bucket) {
+    BOOST_TEST(latency_histogram::bucket_of(microseconds(0)) == 0U);
+    BOOST_TEST(latency_histogram::bucket_of(milliseconds(1)) == 0U);
+    BOOST_TEST(latency_histogram::bucket_of(microseconds(1001)) == 1U);
+    BOOST_TEST(latency_histogram::bucket_of(microseconds(1500)) == 1U);
+    BOOST_TEST(latency_histogram::bucket_of(microseconds(2251)) == 3U);
+    BOOST_TEST(latency_histogram::bucket_of(seconds(3600)) == latency_histogram::buckets - 1);
+    BOOST_TEST(latency_histogram::bound_ms(2) == 2.25);
+    BOOST_TEST(latency_histogram::bound_ms(latency_histogram::buckets - 1) > 11'000.0);
 }
 
-BOOST_AUTO_TEST_CASE(times_that_differ_by_two_are_never_in_one_bucket) {
-    for (auto time = milliseconds(1); time < milliseconds(4900); time += milliseconds(7)) {
-        BOOST_TEST(time_counts::bucket_of(time) < time_counts::bucket_of(2 * time));
+BOOST_AUTO_TEST_CASE(latencies_a_factor_of_two_apart_fall_into_different_buckets) {
+    for (auto latency = milliseconds(1); latency < milliseconds(4900); latency += milliseconds(7)) {
+        BOOST_TEST(latency_histogram::bucket_of(latency) <
+                   latency_histogram::bucket_of(2 * latency));
     }
 }
 
-BOOST_AUTO_TEST_CASE(sums_of_evidence_hold_all_counts_by_route_and_target) {
-    rollout_evidence one;
-    answer_counts& answers = one.counts[{"chat", "a"}];
-    answers.sent = 5;
-    answers.well = 2;
-    answers.badly = 1;
-    answers.silent = 1;
-    answers.first.add(milliseconds(20));
-    answers.pace.add(milliseconds(5));
-    one.counts[{"chat", ""}].well = 7;
+BOOST_AUTO_TEST_CASE(added_evidence_sums_counts_by_route_and_target) {
+    rollout_evidence single;
+    response_counts& responses = single.counts[{"chat", "a"}];
+    responses.sent = 5;
+    responses.succeeded = 2;
+    responses.failed = 1;
+    responses.inconclusive = 1;
+    responses.first_event.add(milliseconds(20));
+    responses.event_interval.add(milliseconds(5));
+    single.counts[{"chat", ""}].succeeded = 7;
 
     rollout_evidence sum;
-    sum.add(one);
-    sum.add(one);
-    const answer_counts& doubled = sum.counts.at({"chat", "a"});
+    sum.add(single);
+    sum.add(single);
+    const response_counts& doubled = sum.counts.at({"chat", "a"});
     BOOST_TEST(doubled.sent == 10U);
-    BOOST_TEST(doubled.well == 4U);
-    BOOST_TEST(doubled.badly == 2U);
-    BOOST_TEST(doubled.silent == 2U);
-    BOOST_TEST(doubled.first.total() == 2U);
-    BOOST_TEST(doubled.pace.total() == 2U);
-    BOOST_TEST(sum.counts.at({"chat", ""}).well == 14U);
+    BOOST_TEST(doubled.succeeded == 4U);
+    BOOST_TEST(doubled.failed == 2U);
+    BOOST_TEST(doubled.inconclusive == 2U);
+    BOOST_TEST(doubled.first_event.total() == 2U);
+    BOOST_TEST(doubled.event_interval.total() == 2U);
+    BOOST_TEST(sum.counts.at({"chat", ""}).succeeded == 14U);
 }
 
-BOOST_AUTO_TEST_CASE(since_earlier_sums_only_what_came_and_nothing_of_what_is_less) {
+BOOST_AUTO_TEST_CASE(since_earlier_returns_increases_and_zero_for_decreases) {
     rollout_evidence earlier;
-    earlier.counts[{"chat", "a"}].well = 3;
-    earlier.counts[{"chat", "a"}].first.add(milliseconds(20));
-    earlier.counts[{"chat", "b"}].badly = 5;
+    earlier.counts[{"chat", "a"}].succeeded = 3;
+    earlier.counts[{"chat", "a"}].first_event.add(milliseconds(20));
+    earlier.counts[{"chat", "b"}].failed = 5;
     rollout_evidence now = earlier;
-    now.counts[{"chat", "a"}].well = 10;
-    now.counts[{"chat", "a"}].first.add(milliseconds(300));
-    now.counts[{"chat", "b"}].badly = 2;
-    now.counts[{"lot", "a"}].silent = 1;
+    now.counts[{"chat", "a"}].succeeded = 10;
+    now.counts[{"chat", "a"}].first_event.add(milliseconds(300));
+    now.counts[{"chat", "b"}].failed = 2;
+    now.counts[{"lot", "a"}].inconclusive = 1;
 
-    const rollout_evidence came = now.since(earlier);
-    BOOST_TEST(came.counts.at({"chat", "a"}).well == 7U);
-    BOOST_TEST(came.counts.at({"chat", "a"}).first.total() == 1U);
-    BOOST_TEST(
-        came.counts.at({"chat", "a"}).first.counts()[time_counts::bucket_of(milliseconds(300))] ==
-        1U);
-    BOOST_TEST(came.counts.at({"chat", "b"}).badly == 0U);
-    BOOST_TEST(came.counts.at({"lot", "a"}).silent == 1U);
+    const rollout_evidence difference = now.since(earlier);
+    BOOST_TEST(difference.counts.at({"chat", "a"}).succeeded == 7U);
+    BOOST_TEST(difference.counts.at({"chat", "a"}).first_event.total() == 1U);
+    BOOST_TEST(difference.counts.at({"chat", "a"})
+                   .first_event.counts()[latency_histogram::bucket_of(milliseconds(300))] == 1U);
+    BOOST_TEST(difference.counts.at({"chat", "b"}).failed == 0U);
+    BOOST_TEST(difference.counts.at({"lot", "a"}).inconclusive == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(versions_are_told_apart_by_the_target_that_is_named) {
+BOOST_AUTO_TEST_CASE(named_target_counts_as_new_version) {
     rollout_evidence evidence;
-    evidence.counts[{"chat", ""}].well = 100;
-    evidence.counts[{"lot", ""}].badly = 3;
-    evidence.counts[{"chat", "a"}].well = 4;
-    evidence.counts[{"lot", "b"}].badly = 1;
-    BOOST_TEST(evidence.of_old_version().well == 100U);
-    BOOST_TEST(evidence.of_old_version().badly == 3U);
-    BOOST_TEST(evidence.of_new_version().well == 4U);
-    BOOST_TEST(evidence.of_new_version().badly == 1U);
+    evidence.counts[{"chat", ""}].succeeded = 100;
+    evidence.counts[{"lot", ""}].failed = 3;
+    evidence.counts[{"chat", "a"}].succeeded = 4;
+    evidence.counts[{"lot", "b"}].failed = 1;
+    BOOST_TEST(evidence.of_old_version().succeeded == 100U);
+    BOOST_TEST(evidence.of_old_version().failed == 3U);
+    BOOST_TEST(evidence.of_new_version().succeeded == 4U);
+    BOOST_TEST(evidence.of_new_version().failed == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/rollout/rollout_table_test.cpp
+++ b/tests/decision/rollout/rollout_table_test.cpp
@@ -17,7 +17,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(rollout_table_test, rollout_table_fixture)
 
-BOOST_AUTO_TEST_CASE(final_state_stays_whatever_follows_for_the_order) {
+BOOST_AUTO_TEST_CASE(final_state_ignores_later_records_of_same_order) {
     BOOST_TEST(table.apply(record(3, rollout_state::running)));
     BOOST_TEST(table.apply(record(3, rollout_state::rolled_back)));
     BOOST_TEST(!table.apply(record(3, rollout_state::completed)));
@@ -25,14 +25,14 @@
     BOOST_TEST((table.find("llm")->state == rollout_state::rolled_back));
 }
 
-BOOST_AUTO_TEST_CASE(later_order_begins_anew_and_earlier_one_changes_nothing) {
+BOOST_AUTO_TEST_CASE(later_order_replaces_earlier_one_and_not_vice_versa) {
     table.apply(record(3, rollout_state::rolled_back));
     BOOST_TEST(table.apply(record(4, rollout_state::running)));
     BOOST_TEST(!table.apply(record(3, rollout_state::completed)));
     BOOST_TEST(table.find("llm")->order == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(service_without_a_record_has_none) {
+BOOST_AUTO_TEST_CASE(unknown_service_has_no_record) {
     BOOST_TEST((table.find("other") == nullptr));
 }
 
--- a/tests/drivers/suspect_log_test.cpp
+++ b/tests/drivers/suspect_log_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr const char* name = "suspects";
 
-suspect_end end_of(std::uint64_t request, const std::string& target = "t/1",
-                   std::int64_t start = 5) {
+crash_evidence end_of(std::uint64_t request, const std::string& target = "t/1",
+                      std::int64_t start = 5) {
     return {{request, 1}, {target, start}};
 }
 
@@ -22,18 +22,18 @@
 struct log_process {
     log_process(event_loop& loop, keyed_log& of_log, const std::string& host)
         : log(loop, of_log, name, host, counters,
-              {[this](const suspect_end& end) { held.insert(end); },
-               [this](const suspect_end& end) { held.erase(end); },
-               [this](std::span<const suspect_end> ends) { not_written += ends.size(); },
+              {[this](const crash_evidence& end) { held.insert(end); },
+               [this](const crash_evidence& end) { held.erase(end); },
+               [this](std::span<const crash_evidence> ends) { not_written += ends.size(); },
                [](bool) {}}) {
         log.start();
     }
 
-    void add(const suspect_end& end) { log.add(std::span(&end, 1)); }
-    void drop(const suspect_end& end) { log.drop(std::span(&end, 1)); }
+    void add(const crash_evidence& end) { log.add(std::span(&end, 1)); }
+    void drop(const crash_evidence& end) { log.drop(std::span(&end, 1)); }
 
     metrics counters;
-    std::set<suspect_end> held;
+    std::set<crash_evidence> held;
     std::size_t not_written = 0;
     suspect_log log;
 };
--- a/tests/roles/entry_rollouts_test.cpp
+++ b/tests/roles/entry_rollouts_test.cpp
@@ -25,16 +25,16 @@
         return {"app", number, version, state, {}, {}, "why"};
     }
 
-    rollout_phase phase() { return rollouts.gate_of("app")->stand().phase; }
+    rollout_phase phase() { return rollouts.gate_of("app")->directive().phase; }
 
     void tell(std::uint64_t number, rollout_phase phase, const std::string& version = "v2") {
-        rollout_stand stand;
+        rollout_directive stand;
         stand.service = "app";
         stand.order = number;
         stand.version = version;
         stand.phase = phase;
-        stand.canary_part = 1.0;
-        stand.left = seconds(5);
+        stand.canary_fraction = 1.0;
+        stand.remaining = seconds(5);
         rollouts.told(now, stand);
     }
 };
@@ -68,8 +68,8 @@
     rollouts.ordered(now, order(5));
     tell(5, rollout_phase::canary);
     rollouts.ordered(now, order(6, "v3"));
-    BOOST_TEST(!rollouts.gate_of("app")->limit_for(now, {})->admits("v2"));
-    BOOST_TEST(rollouts.gate_of("app")->limit_for(now, {})->admits("v1"));
+    BOOST_TEST(!rollouts.gate_of("app")->constraint_for(now, {})->admits("v2"));
+    BOOST_TEST(rollouts.gate_of("app")->constraint_for(now, {})->admits("v1"));
     // The same version again is judged anew.
     rollouts.ordered(now, order(7, "v2"));
     BOOST_TEST(rollouts.gate_of("app")->excluded().contains("v3"));
@@ -89,7 +89,7 @@
     rollouts.ordered(now, order(6, "v7", "llm"));
     BOOST_TEST(rollouts.orders().size() == 2U);
     tell(5, rollout_phase::canary);
-    BOOST_TEST((rollouts.gate_of("llm")->stand().phase == rollout_phase::waiting));
+    BOOST_TEST((rollouts.gate_of("llm")->directive().phase == rollout_phase::waiting));
     BOOST_TEST(rollouts.reports(now).size() == 2U);
     tell(5, rollout_phase::completed);
     BOOST_TEST(rollouts.reports(now).size() == 1U);
@@ -135,7 +135,7 @@
     BOOST_TEST(run.begin(now, target));
     rollouts.ordered(now, order(9));
     run.note_reached();
-    run.end(rollout_gate::answer::well);
+    run.end(rollout_gate::outcome::succeeded);
     BOOST_TEST(rollouts.gate_of("app")->report(now).reached == 0U);
     BOOST_TEST(rollouts.gate_of("app")->evidence().counts.empty());
 }
@@ -155,7 +155,7 @@
     const instant late = now + seconds(5);
     BOOST_TEST(!rollouts.gate_of("app")->report(late).moved);
     run.note_reached();
-    run.end(rollout_gate::answer::well);
+    run.end(rollout_gate::outcome::succeeded);
     BOOST_TEST(rollouts.gate_of("app")->report(late).moved);
     BOOST_TEST(rollouts.gate_of("app")->report(late).reached == 0U);
 }
@@ -167,13 +167,15 @@
     const rollout_request request{"once", 1, false, false, false, false};
     for (int turn = 0; turn < 400; ++turn) {
         // Nothing is bad or usual without what the old version answers.
-        BOOST_TEST(gate.begin(now, request, "v1", "o1"));
+        BOOST_TEST(gate.begin_attempt(now, request, "v1", "o1"));
         gate.note_reached();
-        gate.end(request, "v1", "o1", rollout_gate::answer::well, std::nullopt, std::nullopt);
+        gate.end_attempt(request, "v1", "o1", rollout_gate::outcome::succeeded, std::nullopt,
+                         std::nullopt);
     }
     for (int turn = 0; turn < 25; ++turn) {
-        BOOST_TEST(gate.begin(now, request, "v2", "n1"));
-        gate.end(request, "v2", "n1", rollout_gate::answer::badly, std::nullopt, std::nullopt);
+        BOOST_TEST(gate.begin_attempt(now, request, "v2", "n1"));
+        gate.end_attempt(request, "v2", "n1", rollout_gate::outcome::failed, std::nullopt,
+                         std::nullopt);
         rollouts.observe(now);
     }
     rollouts.observe(now);
@@ -217,7 +219,7 @@
     BOOST_TEST(orders.entry().gate_of("app")->order().number == 5U);
     BOOST_TEST(counters.counter("rollout_orders_unreadable_total") == 1U);
     BOOST_TEST(orders.configuration_changed(now, {"order/app", std::nullopt, 7}));
-    BOOST_TEST((orders.entry().gate_of("app")->stand().phase == rollout_phase::rolled_back));
+    BOOST_TEST((orders.entry().gate_of("app")->directive().phase == rollout_phase::rolled_back));
     BOOST_TEST(told.size() == 1U);
 }
 
@@ -243,7 +245,7 @@
             target.version = at_new ? "v2" : "v1";
             BOOST_REQUIRE(part.begin(now, target));
             part.note_reached();
-            part.end(rollout_gate::answer::well);
+            part.end(rollout_gate::outcome::succeeded);
         }
     }
     BOOST_TEST(tried > 0U);
--- a/tests/roles/rollout_exchange_test.cpp
+++ b/tests/roles/rollout_exchange_test.cpp
@@ -16,7 +16,7 @@
 
 /// What the judges of all processes think, and how many targets there are.
 struct rollout_world {
-    rollout_opinion opinion = rollout_opinion::undecided;
+    evaluation_result opinion = evaluation_result::undecided;
     /// Nothing is judged on fewer requests to the old version.
     std::uint64_t least_requests = 0;
     rollout_target_numbers targets{10, 10};
@@ -39,15 +39,15 @@
                   [](bool) {}}),
           exchange(loop, *bus, members, own,
                    {[this] { return orders; }, [this](instant now) { return reports(now); },
-                    [this](instant, const rollout_stand& told) { stand = told; },
+                    [this](instant, const rollout_directive& told) { stand = told; },
                     [this](const rollout_order&) { return withdrawn; }},
                    ledger, counters,
                    {[&world](const rollout_order&) { return world.targets; },
                     [this, &world](const rollout_evidence& shown, double) {
                         judged = shown;
                         const bool enough = shown.of_old_version().sent >= world.least_requests;
-                        return rollout_verdict{enough ? world.opinion : rollout_opinion::undecided,
-                                               "judged"};
+                        return rollout_evaluation{
+                            enough ? world.opinion : evaluation_result::undecided, "judged"};
                     },
                     0.1}) {
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
@@ -96,7 +96,7 @@
     rollout_report report;
     rollout_evidence evidence;
     instant known_since{};
-    rollout_stand stand;
+    rollout_directive stand;
     /// What this process's judge was last shown.
     rollout_evidence judged;
     bool withdrawn = false;
@@ -214,10 +214,10 @@
 BOOST_AUTO_TEST_CASE(report_and_stand_on_the_wire_are_the_same_when_read) {
     rollout_report report{service, 7, milliseconds(1500), true, 100, 9, true};
     rollout_evidence evidence;
-    answer_counts& counts = evidence.counts[{"r", "t"}];
+    response_counts& counts = evidence.counts[{"r", "t"}];
     counts = {10, 7, 2, 1, {}, {}};
-    counts.first.counts()[3] = 9;
-    counts.pace.counts()[time_counts::buckets - 1] = 4;
+    counts.first_event.counts()[3] = 9;
+    counts.event_interval.counts()[latency_histogram::buckets - 1] = 4;
     const auto told = from_wire(to_wire(incarnation_id{4}, report, evidence));
     BOOST_REQUIRE(told.has_value());
     BOOST_TEST((told->process == incarnation_id{4}));
@@ -226,7 +226,7 @@
     BOOST_TEST((told->report.moved && told->report.found_bad));
     BOOST_TEST(told->report.reached == 100U);
     BOOST_TEST(told->report.exposed == 9U);
-    const rollout_stand stand{service, 7, "v2", rollout_phase::moving, 0.4, 2, 99, -seconds(3)};
+    const rollout_directive stand{service, 7, "v2", rollout_phase::moving, 0.4, 2, 99, -seconds(3)};
     BOOST_TEST((from_wire(to_wire(stand)).value() == stand));
 }
 
@@ -258,7 +258,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(good_version_is_completed_once_all_have_moved) {
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     decider().report.moved = true;
@@ -277,7 +277,7 @@
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     const instant found = monotonic_now();
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_TEST(run_until([this] {
         return std::all_of(processes.begin(), processes.end(), [](const auto& process) {
             return process->phase() == rollout_phase::waiting ||
@@ -324,13 +324,13 @@
     BOOST_TEST(run_until([this] { return successor().exchange.decides(); }));
     BOOST_REQUIRE(run_until([this] { return successor().judged.of_old_version().sent == 200U; }));
     BOOST_TEST(all_in(rollout_phase::canary));
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_TEST(all_ended_as(rollout_state::rolled_back));
     BOOST_TEST(final_records() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(decider_dies_while_the_version_is_moved_to) {
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     world.least_requests = 200;
@@ -353,7 +353,7 @@
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     BOOST_REQUIRE(run_until([this] { return log.end_of("status") == 1U; }));
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_REQUIRE(run_until([this] { return decider().state() == rollout_state::rolled_back; }));
     decider().runs = false;
     // The dead process's members record is replaced by that of another.
@@ -368,15 +368,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(decider_that_freezes_and_wakes_changes_nothing_that_was_decided) {
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     decider().runs = false;
     BOOST_REQUIRE(run_until([this] { return successor().exchange.decides(); }));
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_REQUIRE(all_ended_as(rollout_state::rolled_back));
     decider().report.moved = true;
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     decider().runs = true;
     run_for(seconds(1));
     BOOST_TEST(final_records() == 1U);
@@ -384,7 +384,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(decider_cut_off_from_the_others_completes_nothing_alone) {
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     decider().listens = false;
@@ -403,7 +403,7 @@
 BOOST_AUTO_TEST_CASE(word_of_one_that_does_not_decide_changes_nothing) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    rollout_stand other = entry().stand;
+    rollout_directive other = entry().stand;
     other.phase = rollout_phase::moving;
     wire::Envelope message;
     *message.mutable_rollout_stand() = to_wire(other);
@@ -415,7 +415,7 @@
 
 BOOST_AUTO_TEST_CASE(
     decider_that_the_log_does_not_name_completes_nothing_until_it_takes_over_again) {
-    world.opinion = rollout_opinion::good;
+    world.opinion = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     // By the log it is another that decides.
@@ -447,7 +447,7 @@
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     log.down = true;
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_TEST(reach(rollout_phase::waiting));
     run_for(milliseconds(500));
     BOOST_TEST((decider().state() == rollout_state::running));
@@ -468,9 +468,9 @@
 
 BOOST_AUTO_TEST_CASE(later_order_begins_anew_after_an_end) {
     order_all();
-    world.opinion = rollout_opinion::bad;
+    world.opinion = evaluation_result::bad;
     BOOST_REQUIRE(all_ended_as(rollout_state::rolled_back));
-    world.opinion = rollout_opinion::undecided;
+    world.opinion = evaluation_result::undecided;
     given.number = 8;
     for (const auto& process : processes) {
         process->order(given);
--- a/tests/roles/suspect_exchange_test.cpp
+++ b/tests/roles/suspect_exchange_test.cpp
@@ -15,7 +15,7 @@
 
 const digest request{1, 1};
 
-target_life life(int number) {
+target_incarnation life(int number) {
     return {"t" + std::to_string(number), 1};
 }
 
