--- a/include/wrenswitch/decision/control/configuration.hpp
+++ b/include/wrenswitch/decision/control/configuration.hpp
@@ -13,27 +13,29 @@
 
 namespace wrenswitch {
 
-/// A client account: who calls, how urgent its requests are at most, and what pays for them.
+/// A client account: its credentials, its highest allowed priority and the budget that it spends.
 struct client_account {
     std::string name;
-    /// The SHA-256 of the caller's key, in hexadecimal digits.
+    /// The SHA-256 of the API key in lower-case hexadecimal.
     std::string key_sha256;
-    /// The most urgent class that the account may ask for; 0 is the most urgent.
+    /// The highest priority that requests may have, from 0 (highest) to 7.
     std::uint32_t priority = 0;
     std::string budget;
 
     friend bool operator==(const client_account&, const client_account&) = default;
 };
 
-/// A service that targets offer: a model, or plain calls.
+/// A service that targets provide.
 struct service {
     std::string name;
+    /// True for a model, which is charged by tokens used; false for a plain service.
     bool model = true;
-    /// Plain services: what one call is charged.
+    /// Plain services only: the tokens charged for each call.
     tokens tokens_per_call = 0;
-    /// False if a call may run at most once.
+    /// False if a request may be executed at most once, so that it must not be retried.
     bool repeatable = true;
-    /// The most requests that one target runs at a time; zero leaves it to the guard's limiter.
+    /// The maximum number of concurrent requests per target. With 0 the guard's concurrency
+    /// limiter decides.
     std::uint32_t concurrency = 0;
 
     friend bool operator==(const service&, const service&) = default;
@@ -61,17 +63,17 @@
 using configuration_change = std::variant<put_client_account, remove_client_account, put_service,
                                           remove_service, drain_host, undrain_host>;
 
-/// Several changes that take effect together or not at all.
+/// Configuration changes that are applied atomically.
 struct change_set {
     operation_id operation{};
-    /// The version that the writer had before it.
+    /// The configuration version that the changes are based on.
     std::uint64_t base_version = 0;
-    /// True if the set is refused unless the base version is still in force.
-    bool guarded = false;
+    /// True to refuse the set unless the current version equals base_version.
+    bool check_base_version = false;
     std::vector<configuration_change> changes;
 };
 
-/// What an operator's change came to.
+/// The result of applying a change set.
 enum class change_outcome {
     accepted,
     refused_conflict,
@@ -79,16 +81,15 @@
     refused_bad_value,
 };
 
-/// The name of an outcome as replies show it.
+/// The name of an outcome in replies to operators.
 std::string_view name_of(change_outcome outcome);
 
-/// The configuration in force after some prefix of the control stream.
+/// The configuration that results from the change sets of the control stream up to an offset.
 class configuration {
 public:
     friend bool operator==(const configuration&, const configuration&) = default;
 
-    /// Applies all changes of a set or none of them. The version grows by one if it is accepted and
-    /// never falls.
+    /// Applies all changes of a set or none of them. An accepted set increments the version.
     change_outcome apply(const change_set& set);
 
     std::uint64_t version() const { return version_; }
@@ -98,13 +99,13 @@
     const std::map<std::string, service, std::less<>>& services() const { return services_; }
     const std::set<std::string, std::less<>>& drained_hosts() const { return drained_hosts_; }
 
-    /// The service with this name, or null.
+    /// Returns the service with this name, or null.
     const service* find_service(std::string_view name) const;
 
-    /// The client account whose key has this SHA-256, or null.
+    /// Returns the client account whose API key has this SHA-256, or null.
     const client_account* find_by_key(std::string_view key_sha256) const;
 
-    /// Puts back what a snapshot held.
+    /// Replaces the configuration with the contents of a snapshot.
     void restore(std::uint64_t version, std::vector<client_account> accounts,
                  std::vector<service> services, std::vector<std::string> drained_hosts);
 
@@ -115,7 +116,7 @@
     std::map<std::string, client_account, std::less<>> client_accounts_;
     std::map<std::string, service, std::less<>> services_;
     std::set<std::string, std::less<>> drained_hosts_;
-    /// From the digest of a key to the name of its client account.
+    /// Maps the SHA-256 of an API key to the name of its client account.
     std::map<std::string, std::string, std::less<>> accounts_by_key_;
 };
 
--- a/include/wrenswitch/decision/control/member.hpp
+++ b/include/wrenswitch/decision/control/member.hpp
@@ -6,33 +6,33 @@
 
 namespace wrenswitch {
 
-/// What a process of the fleet does.
+/// The role of a process: an entry accepts client requests, a guard runs in front of one target.
 enum class member_role { entry, guard };
 
-/// What a process says of itself when it registers.
+/// The properties that a process publishes when it registers.
 struct registration {
     member_role role = member_role::entry;
     std::string host;
     std::string region;
     std::string failure_domain;
-    /// Where other processes reach it, as ZeroMQ writes it.
+    /// The ZeroMQ endpoint at which other processes connect.
     std::string endpoint;
-    /// Guards only: the service whose target stands behind.
+    /// Guards only: the service that the guarded target provides.
     std::string service;
-    /// Where it serves operators, as address and port.
+    /// The address and port of the operator API.
     std::string operator_address;
 
     friend bool operator==(const registration&, const registration&) = default;
 };
 
-/// One incarnation of a process, as the control stream knows it.
+/// One incarnation of a process: its registration and whether it was closed or fenced.
 struct member {
     incarnation_id incarnation{};
-    registration self;
+    registration info;
     log_offset registered_at{};
-    /// It stopped as planned.
+    /// True after an orderly shutdown.
     bool closed = false;
-    /// The offset of its fence, or zero.
+    /// The offset of the record that fenced it, or zero.
     log_offset fenced_at{};
 
     friend bool operator==(const member&, const member&) = default;
--- a/include/wrenswitch/decision/home/budget_home.hpp
+++ b/include/wrenswitch/decision/home/budget_home.hpp
@@ -24,179 +24,200 @@
 
 namespace wrenswitch {
 
-/// What a home is told once, when it starts.
-struct home_settings {
+/// The construction parameters of a budget_allocator.
+struct allocator_settings {
     incarnation_id incarnation{};
+    /// Where guards report charges, as a ZeroMQ endpoint.
     std::string endpoint;
     grant_policy policy;
-    /// The number of homes that a budget can have.
-    unsigned homes = 1;
-    /// How long the estimates of demand remember: for bursts, and for a home's share of demand.
-    microseconds recent_memory = seconds(60);
-    microseconds demand_memory = seconds(1800);
-    /// After this, a ticket of which nothing was heard is asked for at the guards.
-    microseconds ticket_doubt_after = seconds(30);
-    /// What a first request is assumed to need, so that a budget is drawn on before it comes.
-    tokens assumed_bound = 4096;
-    /// How many request keys are remembered.
-    std::size_t remembered_keys = 100'000;
+    /// The number of allocators that share a budget.
+    unsigned allocator_count = 1;
+    /// The time constants of the demand estimates: for bursts, and for the allocator's share of the
+    /// total demand.
+    microseconds burst_time_constant = seconds(60);
+    microseconds demand_time_constant = seconds(1800);
+    /// A ticket whose start is not confirmed within this time is voided at the guards.
+    microseconds confirmation_timeout = seconds(30);
+    /// The bound assumed before the first request, so that tokens are drawn in advance.
+    tokens default_bound = 4096;
+    /// The capacity of the request key table.
+    std::size_t max_request_keys = 100'000;
 };
 
-/// The home of the budgets of one ledger shard in one region: it holds their grants, reserves each
-/// request's upper bound before it runs, and settles what the guards report.
+/// Allocates the tokens of the budgets of one ledger shard in one region: draws grants from the
+/// ledger, reserves each request's upper bound before it runs, and settles the charges that guards
+/// report.
 ///
-/// It sees the ledger only through the fold. What it may spend is what the fold says it holds, less
-/// what it has reserved, less what is not settled there yet; so a batch that is lost or late can
-/// make it refuse too much but never spend too much.
-class budget_home {
+/// It may spend the tokens that the replicated ledger state shows as held, less its reservations
+/// and less the charges not yet settled there. So a lost or delayed batch can cause needless
+/// refusals, but never overspending.
+class budget_allocator {
 public:
-    /// Told when an ask that had to wait is answered: the asker's number and the answer.
-    using answer_hook = std::function<void(std::uint64_t, const reservation_answer&)>;
+    /// Called with the request's identifier and the reply when a waiting request is answered.
+    using reply_hook = std::function<void(std::uint64_t, const reservation_reply&)>;
 
-    /// The ledger must outlive the home.
-    budget_home(home_settings settings, const ledger_state& ledger, random_source& random,
-                answer_hook on_answer);
+    /// The ledger and the random source must outlive the allocator.
+    budget_allocator(allocator_settings settings, const ledger_state& ledger, random_source& random,
+                     reply_hook on_reply);
 
-    /// Answers at once, or returns nothing and calls the answer hook later.
-    std::optional<reservation_answer> reserve(instant now, const reservation_ask& ask);
+    /// Returns the reply, or nothing if the request waits; then the reply hook is called later.
+    std::optional<reservation_reply> reserve(instant now, const reservation_request& request);
 
-    /// A guard took the ticket. An error if that cannot be.
-    result<void> started(ticket_id id, incarnation_id guard, std::string guard_endpoint);
+    /// A guard accepted the ticket. Fails if the ticket is not outstanding or another guard
+    /// accepted it before.
+    result<void> ticket_started(ticket_id id, incarnation_id guard, std::string guard_endpoint);
 
-    /// The asker says that the ticket ran nowhere and can run nowhere.
-    result<void> release(ticket_id id);
+    /// Releases a ticket that no guard has started or can still start. Fails if it is not
+    /// outstanding or was started.
+    result<void> release_ticket(ticket_id id);
 
-    /// A guard reports the charge of an ended request. A second report changes nothing.
-    void charge_ended(instant now, const charge& ended);
+    /// A guard reports the charge of a completed request. Repeated reports are not counted again.
+    void charge_reported(instant now, const charge& ended);
 
-    /// A guard was fenced: what it has or may have is charged at its bound.
+    /// A guard was fenced: settles the tickets that it started at their bounds. Tickets that it may
+    /// have started are settled likewise once all other guards have voided them.
     void guard_fenced(incarnation_id guard);
 
-    /// Tickets of which nothing was heard for too long, to be voided at all these guards.
-    std::vector<ticket_id> take_unclear(instant now, std::span<const incarnation_id> guards);
+    /// Returns the tickets whose start was not confirmed in time. The caller must ask all these
+    /// guards to void them.
+    std::vector<ticket_id> take_unconfirmed(instant now, std::span<const incarnation_id> guards);
 
-    /// A guard will refuse the ticket from now on.
-    void voided(ticket_id id, incarnation_id guard);
+    /// A guard confirmed that it will refuse the ticket.
+    void ticket_voided(ticket_id id, incarnation_id guard);
 
-    /// The log answers, or does not.
+    /// Sets whether the log can be reached.
     void set_log_reachable(bool reachable) { log_reachable_ = reachable; }
 
-    /// The offset up to which guards must have read before they take a ticket.
+    /// Sets the control stream offset that a guard must have read to accept a new ticket.
     void set_least_control_offset(log_offset offset) { least_control_offset_ = offset; }
 
-    /// How far this process has read the control stream, for the tickets that it issues.
+    /// Sets how far this process has read the control stream; copied to the tickets it issues.
     void set_control_offset(log_offset offset) { control_offset_ = offset; }
 
-    /// Another writer settled a charge in this shard.
+    /// A charge was settled in this shard, by any writer.
     void observe_settlement(instant now, budget_id budget, tokens amount);
 
-    /// Another home's request waits for tokens of this budget.
-    void need_seen(instant now, budget_id budget) { consult_policy(now, budget); }
+    /// Another allocator has an unmet need for this budget.
+    void remote_need_changed(instant now, budget_id budget) { apply_policy(now, budget); }
 
-    /// To be called after records were applied to the ledger.
+    /// Must be called after records were applied to the ledger.
     void ledger_changed(instant now);
 
-    /// To be called every second or so: time-outs and draws ahead of need.
+    /// Handles time-outs and draws in advance; call about once per second.
     void tick(instant now);
 
-    /// True if an operation waits that somebody waits for, so that it should not wait for others.
+    /// True if a pending operation should be appended at once instead of being batched, since a
+    /// request or another allocator waits for it.
     bool urgent() const { return urgent_; }
 
-    /// The operations to append next, in order. Empty if there are none or a batch is under way.
+    /// Removes and returns the operations to append next, in order. Empty if none is pending or the
+    /// previous batch was not applied yet.
     std::vector<ledger_operation> take_batch();
 
-    /// The batch was applied. Returns the tickets whose charges are in the ledger for good.
+    /// The batch was applied to the ledger. Returns the tickets whose charges it settled.
     std::vector<ticket_id> batch_applied(instant now, std::span<const ledger_operation> batch);
 
-    /// Adds an operation that somebody else wants appended, such as a reclaim.
+    /// Adds an operation on behalf of another component, such as a reclaim.
     void enqueue(ledger_operation operation);
 
-    /// Stops drawing and returns all that is free, or draws again. Once idle() holds while
-    /// draining, the holder may be closed.
+    /// While draining, the allocator draws no tokens and returns all free ones. The holder may be
+    /// closed once idle() is true.
     void set_draining(bool draining) { draining_ = draining; }
 
-    /// True if no ticket is out and no operation waits.
+    /// True if no ticket is outstanding, no request waits and no operation is pending.
     bool idle() const;
 
-    /// True if all that a fenced guard may have run for this home is charged in the ledger.
-    bool cleared_of(incarnation_id guard) const;
+    /// True if the ledger contains the charges of all tickets of this allocator that the fenced
+    /// guard may have started.
+    bool is_guard_settled(incarnation_id guard) const;
 
-    /// The guard's fence is marked; nothing about it need be remembered.
+    /// Drops the state kept for a fenced guard, once its fence is acknowledged.
     void forget_guard(incarnation_id guard) { exposures_.erase(guard); }
 
-    /// The free tokens of a budget here.
-    tokens free_of(budget_id budget) const;
+    /// The tokens of a budget that are held here and neither reserved nor being settled or
+    /// returned.
+    tokens free_tokens(budget_id budget) const;
 
-    std::size_t tickets_out() const { return tickets_.size(); }
+    std::size_t outstanding_tickets() const { return tickets_.size(); }
 
 private:
     struct account {
+        /// The bounds of all outstanding tickets.
         tokens reserved = 0;
+        /// Charges that the ledger has not settled yet.
         tokens unsettled = 0;
+        /// Tokens in a return operation that was not applied yet.
         tokens returning = 0;
+        /// The bounds of all requests that wait for tokens.
         tokens need = 0;
         tokens largest_bound = 0;
-        /// What this home settled.
+        /// Charges of this allocator that the ledger settled.
         tokens spent = 0;
+        /// True while a draw operation was not applied yet.
         bool drawing = false;
-        /// What requests cost lately, as a share of their bounds.
+        /// The moving average of cost divided by bound.
         double cost_share = 1.0;
         demand_estimator recent_demand;
         demand_estimator demand;
-        demand_estimator demand_of_all;
+        demand_estimator total_demand;
     };
 
-    struct parked_ask {
-        reservation_ask ask;
+    struct waiting_request {
+        reservation_request request;
         budget_id budget{};
-        instant until{};
-        /// True while it waits for the key grant and not for tokens.
-        bool for_keys = false;
+        instant deadline{};
+        /// True if it waits for the key lock, false if for tokens.
+        bool needs_key_lock = false;
     };
 
+    /// The tickets that a fenced guard may have started.
     struct exposure {
         std::set<ticket_id> tickets;
-        /// The number of settlements that must have been applied.
-        std::uint64_t settled_after = 0;
+        /// Settled once this many settlements were applied.
+        std::uint64_t required_settlements = 0;
     };
 
     account& account_of(budget_id budget);
-    std::optional<reservation_answer> answer_from_key(const reservation_ask& ask) const;
-    reservation_answer grant(instant now, const reservation_ask& ask, budget_id budget);
-    void note_demand(instant now, account& local, tokens amount);
-    void note_refused_demand(instant now, const reservation_ask& ask, budget_id budget);
-    reservation_answer refusal_of(const reservation_ask& ask, budget_id budget) const;
-    bool can_never_pay(const reservation_ask& ask, const budget_state& budget) const;
-    void park(instant now, const reservation_ask& ask, budget_id budget, bool for_keys);
-    bool holds_keys() const { return ledger_.key_holder() == settings_.incarnation; }
-    std::optional<reservation_answer> answer_without_keys(instant now, const reservation_ask& ask,
-                                                          budget_id budget);
+    std::optional<reservation_reply> reply_for_known_key(const reservation_request& request) const;
+    reservation_reply issue_ticket(instant now, const reservation_request& request,
+                                   budget_id budget);
+    void record_demand(instant now, account& local, tokens amount);
+    void record_refused_demand(instant now, const reservation_request& request, budget_id budget);
+    reservation_reply make_refusal(const reservation_request& request, budget_id budget) const;
+    bool exceeds_budget(const reservation_request& request, const budget_state& budget) const;
+    void add_waiting_request(instant now, const reservation_request& request, budget_id budget,
+                             bool needs_key_lock);
+    bool holds_key_lock() const { return ledger_.key_holder() == settings_.incarnation; }
+    std::optional<reservation_reply> reply_without_key_lock(instant now,
+                                                            const reservation_request& request,
+                                                            budget_id budget);
     bool may_have_run(const digest& key) const;
-    void consult_keys();
-    void keys_answered(instant now);
-    void serve_parked(instant now, budget_id budget);
-    void answer_parked(std::size_t index, const reservation_answer& answer);
-    void consult_policy(instant now, budget_id budget);
+    void update_key_lock();
+    void on_key_lock_changed(instant now);
+    void grant_waiting_requests(instant now, budget_id budget);
+    void answer_waiting_request(std::size_t index, const reservation_reply& reply);
+    void apply_policy(instant now, budget_id budget);
     void settle_at_bound(const issued_ticket& issued);
     void enqueue_settlement(const charge& settled);
     void settlement_applied(const charge& settled);
-    void resolve_exposure(ticket_id id);
-    grant_view view_of(instant now, const budget_state& state, const account& local) const;
+    void remove_exposure(ticket_id id);
+    grant_policy_input policy_input(instant now, const budget_state& state,
+                                    const account& local) const;
 
-    home_settings settings_;
+    allocator_settings settings_;
     const ledger_state& ledger_;
     random_source& random_;
-    answer_hook on_answer_;
+    reply_hook on_reply_;
 
     std::unordered_map<budget_id, account> accounts_;
     ticket_table tickets_;
-    request_keys keys_;
-    std::deque<parked_ask> parked_;
-    /// Keys that were claimed here and certainly did not run.
+    request_key_table keys_;
+    std::deque<waiting_request> waiting_requests_;
+    /// Keys claimed here whose tickets were released unused.
     std::unordered_set<digest> unused_claims_;
-    /// Keys that were claimed here and whose claim is not in the ledger yet.
+    /// Keys claimed here whose claims are not in the ledger yet.
     std::unordered_set<digest> unwritten_claims_;
-    /// What is charged but not yet in the fold, by ticket. A ticket stands here once only, so that
+    /// Charges that the ledger has not settled yet, by ticket. Each ticket is counted once, so that
     /// a repeated report cannot free tokens twice.
     std::unordered_map<ticket_id, tokens> unsettled_;
     std::vector<ledger_operation> pending_;
@@ -205,12 +226,12 @@
     std::uint64_t settlements_applied_ = 0;
     log_offset least_control_offset_{};
     log_offset control_offset_{};
-    bool batch_under_way_ = false;
+    bool batch_pending_ = false;
     bool log_reachable_ = true;
     bool draining_ = false;
     bool urgent_ = false;
-    /// The key grant is being asked for or given back.
-    bool keys_under_way_ = false;
+    /// True while a lock_keys or unlock_keys operation was not applied yet.
+    bool key_lock_pending_ = false;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/home/demand_estimator.hpp
+++ b/include/wrenswitch/decision/home/demand_estimator.hpp
@@ -5,27 +5,27 @@
 
 namespace wrenswitch {
 
-/// Estimates a rate of tokens from amounts as they come, as an average that forgets exponentially.
+/// Estimates the rate of token consumption as an exponentially weighted moving average.
 class demand_estimator {
 public:
-    /// The time constant: after it, an old amount weighs 1/e of what it did.
-    explicit demand_estimator(microseconds memory) : memory_(memory) {}
+    /// The weight of an amount falls to 1/e after the time constant.
+    explicit demand_estimator(microseconds time_constant) : time_constant_(time_constant) {}
 
-    /// Adds an amount at a time that must not lie before the last one.
+    /// Adds an amount. Times must not decrease between calls.
     void add(instant now, tokens amount);
 
-    /// The estimated rate in tokens a second.
+    /// The estimated rate in tokens per second.
     double rate(instant now) const;
 
 private:
-    double decayed(instant now) const;
+    double decayed_sum(instant now) const;
 
-    microseconds memory_;
-    instant last_{};
-    instant first_{};
+    microseconds time_constant_;
+    instant last_time_{};
+    instant first_time_{};
     bool started_ = false;
-    /// The weighted sum of amounts at the time last_.
-    double weight_ = 0.0;
+    /// The weighted sum of all amounts at the time last_time_.
+    double sum_at_last_time_ = 0.0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/home/grant_policy.hpp
+++ b/include/wrenswitch/decision/home/grant_policy.hpp
@@ -8,71 +8,74 @@
 
 namespace wrenswitch {
 
-/// What a home knows when it decides how much of a budget to hold.
-struct grant_view {
+/// The state of one budget from which a policy decides how many tokens an allocator holds.
+struct grant_policy_input {
     tokens limit = 0;
-    /// What is left in the ledger for anyone to draw.
+    /// The tokens left in the ledger to draw.
     tokens available = 0;
-    /// What this home holds, and the part of it that is neither reserved nor spent.
+    /// The tokens that this allocator holds, and the part that is neither reserved nor spent.
     tokens held = 0;
     tokens free = 0;
-    /// What all homes together hold.
-    tokens held_by_all = 0;
-    /// What requests wait for here.
+    /// The tokens that all allocators hold together.
+    tokens total_held = 0;
+    /// The bounds of the requests that wait for tokens here.
     tokens need = 0;
-    /// What the first home in the ledger's queue waits for, if that is another one.
-    tokens first_need_elsewhere = 0;
-    /// Tokens a second that are asked for here: lately, and over a longer time.
+    /// The unmet need at the head of the ledger's queue, if it is another allocator's.
+    tokens first_remote_need = 0;
+    /// The demand here in tokens per second, over a short and over a long time.
     double recent_demand = 0.0;
     double demand = 0.0;
-    /// What all homes settle over the longer time.
-    double demand_of_all = 0.0;
-    /// How long the longer time is.
-    microseconds demand_memory{0};
-    /// The largest reservation seen lately.
+    /// The charges of all allocators over the long time, in tokens per second.
+    double total_demand = 0.0;
+    /// The time constant of the long-term demand.
+    microseconds demand_time_constant{0};
+    /// The largest bound of a request so far, at least the assumed bound.
     tokens largest_bound = 0;
-    /// The number of homes that a budget can have: one a region or failure domain.
-    unsigned homes = 1;
-    /// What this home holds or has spent, altogether.
-    tokens drawn = 0;
+    /// The number of allocators that share the budget: one per region or failure domain.
+    unsigned allocator_count = 1;
+    /// The tokens that this allocator holds or has spent.
+    tokens total_drawn = 0;
 };
 
-/// What to do now. At most one of both is above zero.
+/// The decision of a policy, in tokens. At most one of the amounts is positive.
 struct grant_decision {
     tokens draw = 0;
-    tokens give_back = 0;
+    tokens return_amount = 0;
 };
 
-/// A way of deciding how much to hold.
-using grant_policy = std::function<grant_decision(const grant_view&)>;
+/// Decides how many tokens to draw or to return.
+using grant_policy = std::function<grant_decision(const grant_policy_input&)>;
 
-/// How far a policy looks ahead and how much it leaves for others.
+/// The time horizons and limits of the grant policies.
 struct grant_policy_settings {
-    /// How long the held tokens should last while the log can be reached.
+    /// How long the held tokens should last in normal operation, with the log reachable.
     microseconds working_horizon = seconds(20);
-    /// How long they should last when it cannot. Longer than the cut-offs that are expected, since
-    /// demand in one hour is not that of the hour before.
-    microseconds cut_off_horizon = seconds(7200);
-    /// The share of what is left that all homes together may hold back against a cut-off. Higher
-    /// serves a cut-off longer; lower leaves fewer tokens in doubt after a crash.
+    /// How long the held tokens should last while the log is unreachable. Longer than the expected
+    /// outages, since demand varies from hour to hour.
+    microseconds outage_horizon = seconds(7200);
+    /// The share of the unspent tokens that all allocators together may hold as a reserve for an
+    /// outage of the log. A higher share lasts longer; a lower one leaves fewer tokens unaccounted
+    /// for after a crash.
     double reserve_share = 0.9;
 };
 
-/// Each home draws an equal part of the limit once and keeps it.
+/// Each allocator draws an equal part of the limit once and keeps it.
 grant_policy even_split_policy();
 
-/// Each home holds what its demand needs for the working horizon.
+/// Each allocator holds its expected demand over the working horizon.
 grant_policy demand_share_policy(grant_policy_settings settings);
 
-/// As demand_share_policy, but for the cut-off horizon, limited to an equal part of what is left.
+/// Each allocator holds its expected demand over the outage horizon, limited to an equal part of
+/// the reserve.
 grant_policy capped_reserve_policy(grant_policy_settings settings);
 
-/// Each home holds the cut-off horizon's demand, limited to its share, by demand, of what is left.
-/// Every home sees all settlements of a shard, so it knows that share without asking.
+/// Each allocator holds its expected demand over the outage horizon, limited to a part of the
+/// reserve in proportion to its demand. Every allocator sees all settlements of a shard, so it
+/// knows its proportion without communication.
 grant_policy shared_reserve_policy(grant_policy_settings settings);
 
-/// The policy with this name, or an empty function: even_split, demand_share, capped_reserve,
-/// shared_reserve.
+/// Returns the policy with this name (even_split, demand_share, capped_reserve or shared_reserve),
+/// or an empty function if there is none.
 grant_policy grant_policy_named(std::string_view name, grant_policy_settings settings);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/home/request_keys.hpp
+++ b/include/wrenswitch/decision/home/request_keys.hpp
@@ -12,67 +12,68 @@
 
 namespace wrenswitch {
 
-/// How far a request has come, as its home knows it.
+/// The progress of a request as known to its allocator.
 enum class request_phase {
-    /// A ticket is out; no guard is known to have taken it.
+    /// A ticket is issued; no guard is known to have started it.
     reserved,
-    /// A guard took it.
+    /// A guard started it.
     started,
-    /// Its charge came in.
+    /// Its charge was reported.
     ended,
-    /// It may have run, and no witness is left.
+    /// It may have run, but the guard that could confirm it was fenced.
     lost,
 };
 
-/// The name of a phase as it stands in messages.
+/// The name of a phase in messages.
 std::string_view name_of(request_phase phase);
 
-/// What a home remembers of a request key.
-struct request_entry {
+/// The state of one request key.
+struct request_key_entry {
+    /// The digest of the request body.
     digest body;
     request_phase phase = request_phase::reserved;
     ticket_id ticket{};
-    /// Where the answer is, once a guard took the request.
+    /// The guard that has the response, once a guard started the request.
     std::string guard_endpoint;
     incarnation_id guard{};
 };
 
-/// The request keys of one home, bounded in number: the oldest ended ones go first.
-class request_keys {
+/// The request keys known to one allocator. At the capacity, the keys that ended first are evicted.
+class request_key_table {
 public:
-    explicit request_keys(std::size_t capacity) : capacity_(capacity) {}
+    explicit request_key_table(std::size_t capacity) : capacity_(capacity) {}
 
-    /// The entry of a key, or null.
-    const request_entry* find(const digest& key) const;
+    /// Returns the entry of a key, or null.
+    const request_key_entry* find(const digest& key) const;
 
-    /// Starts a key, or starts it anew after it ended or was lost.
+    /// Adds a key, or reuses one that ended or was lost. Fails while the key is in use.
     result<void> reserve(const digest& key, const digest& body, ticket_id ticket);
 
-    /// A new ticket takes the place of one whose fate is not known.
-    result<void> replace(const digest& key, ticket_id lost, ticket_id ticket);
+    /// Replaces the ticket of a key, whose outcome is unknown, with a new one.
+    result<void> replace(const digest& key, ticket_id replaced, ticket_id ticket);
 
-    /// A guard took the request. An error if the ticket is not the one that is out.
-    result<void> start(const digest& key, ticket_id ticket, incarnation_id guard,
-                       std::string guard_endpoint);
+    /// A guard started the request. Fails if the ticket is not the current one of the key.
+    result<void> mark_started(const digest& key, ticket_id ticket, incarnation_id guard,
+                              std::string guard_endpoint);
 
-    /// The charge came in; that may happen before the word that it started.
-    result<void> end(const digest& key, ticket_id ticket);
+    /// The charge was reported, possibly before the start of the request.
+    result<void> mark_ended(const digest& key, ticket_id ticket);
 
-    /// The witnesses are gone.
-    result<void> lose(const digest& key, ticket_id ticket);
+    /// The guard was fenced, so the outcome of the request is unknown.
+    result<void> mark_lost(const digest& key, ticket_id ticket);
 
-    /// The ticket came back unused, so the key is as new.
+    /// The ticket was released unused; forgets the key.
     result<void> release(const digest& key, ticket_id ticket);
 
     std::size_t size() const { return entries_.size(); }
 
 private:
-    result<request_entry*> expect(const digest& key, ticket_id ticket);
-    void make_room();
+    result<request_key_entry*> find_with_ticket(const digest& key, ticket_id ticket);
+    void evict_ended();
 
     std::size_t capacity_;
-    std::unordered_map<digest, request_entry> entries_;
-    /// Keys in the order in which they ended.
+    std::unordered_map<digest, request_key_entry> entries_;
+    /// Keys in the order in which they ended or were lost.
     std::deque<digest> ended_order_;
 };
 
--- a/include/wrenswitch/decision/home/reservation.hpp
+++ b/include/wrenswitch/decision/home/reservation.hpp
@@ -11,56 +11,62 @@
 
 namespace wrenswitch {
 
-/// What an entry asks of a budget's home before a request may run.
-struct reservation_ask {
-    /// Names the request between the asker and the home.
-    std::uint64_t request = 0;
+/// Asks an allocator to reserve a request's upper bound before the request may run.
+struct reservation_request {
+    /// Identifies the request between the sender and the allocator.
+    std::uint64_t request_id = 0;
     std::string budget;
     digest key;
+    /// The digest of the request body.
     digest body;
-    /// The most that the request can cost.
+    /// The maximum cost of the request, in tokens.
     tokens bound = 0;
+    /// False if the request may be executed at most once.
     bool repeatable = true;
-    /// True if the caller chose the key, so that the same request may come again.
+    /// True if the client supplied the key, so that it may send the same request again.
     bool keyed = false;
-    /// How long the asker is ready to wait for tokens from elsewhere.
-    microseconds wait{0};
-    /// A ticket of the same request that was lost sight of at a guard; zero if there is none. It
-    /// stays reserved until its fate is known, and the request gets another.
+    /// How long the request may wait for tokens or for the key lock.
+    microseconds max_wait{0};
+    /// A ticket of the same request whose outcome at a guard is unknown, or zero. It stays reserved
+    /// until the outcome is known; the request gets another ticket.
     ticket_id replaces{};
 };
 
-/// What became of an ask.
+/// The result of a reservation request.
 enum class reservation_outcome {
     granted,
-    /// The request runs or ran; its answer is at a guard.
+    /// The request runs or has run; a guard has its response.
     join,
-    /// The budget as a whole has too little left.
+    /// The budget has too few tokens left.
     budget_exhausted,
-    /// The budget may have enough, but the log cannot be reached and what is held here is used up.
+    /// The tokens held here are used up, and the log cannot be reached to draw more.
     budget_unreachable,
+    /// The budget does not exist.
     no_budget,
-    /// The key was used with another body.
+    /// The key was used before with another body.
     key_reused,
-    /// The same key is on its way to a target; ask again shortly.
+    /// A request with the same key is in progress; retry shortly.
     in_progress,
-    /// A request that may not be repeated may have run.
+    /// The request must not be repeated and may have run before.
     unknown_outcome,
-    /// Another incarnation decides about requests that may not be repeated; ask it.
+    /// Another incarnation holds the key lock and decides about non-repeatable requests.
     keys_elsewhere,
 };
 
-/// The name of an outcome as replies show it.
+/// The name of an outcome in replies.
 std::string_view name_of(reservation_outcome outcome);
 
-/// The home's answer to an ask.
-struct reservation_answer {
+/// The allocator's reply to a reservation request.
+struct reservation_reply {
     reservation_outcome outcome = reservation_outcome::no_budget;
+    /// With granted: the issued ticket.
     ticket granted;
+    /// With join: the guard that has the response.
     std::string guard_endpoint;
     incarnation_id guard{};
-    /// With keys_elsewhere: whom to ask, or zero if nobody decides now.
+    /// With keys_elsewhere: the holder of the key lock, or zero if nobody holds it.
     incarnation_id key_holder{};
+    /// With a refusal: the suggested retry interval, or zero if a retry cannot succeed.
     microseconds retry_after{0};
 };
 
--- a/include/wrenswitch/decision/home/ticket_table.hpp
+++ b/include/wrenswitch/decision/home/ticket_table.hpp
@@ -11,39 +11,40 @@
 
 namespace wrenswitch {
 
-/// A ticket that is out, and what its home knows of it.
+/// An outstanding ticket and its progress as known to its allocator.
 struct issued_ticket {
     ticket value;
     instant issued_at{};
     bool repeatable = true;
-    /// The guard that is known to have taken it, or zero.
+    /// The guard that is known to have started it, or zero.
     incarnation_id guard{};
-    /// Guards that were asked to void the ticket and have not answered.
-    std::set<incarnation_id> void_awaited;
-    bool void_asked = false;
-    /// A guard that might have taken it was fenced before it could say.
+    /// Guards that were asked to void the ticket and have not replied.
+    std::set<incarnation_id> pending_voids;
+    bool void_requested = false;
+    /// True if a guard that might have started it was fenced without reporting.
     bool possibly_started = false;
 
     bool started() const { return guard != incarnation_id{}; }
 };
 
-/// The tickets of one home that are neither charged nor given back.
+/// The outstanding tickets of one allocator: issued and neither charged nor released.
 class ticket_table {
 public:
     /// Adds a new ticket.
     void add(issued_ticket issued);
 
-    /// The ticket with this identifier, or null.
+    /// Returns the ticket with this identifier, or null.
     issued_ticket* find(ticket_id id);
 
-    /// Removes a ticket and returns it, if it is there.
+    /// Removes a ticket and returns it, or nothing if it is not in the table.
     std::optional<issued_ticket> take(ticket_id id);
 
-    /// Tickets that no guard is known to have taken, issued before this time and not asked for yet.
-    std::vector<ticket_id> unclear_before(instant time) const;
+    /// Tickets issued before this time that no guard is known to have started and that no guard was
+    /// asked to void yet.
+    std::vector<ticket_id> unconfirmed_before(instant time) const;
 
-    /// All tickets that this guard has or might have taken.
-    std::vector<ticket_id> exposed_to(incarnation_id guard) const;
+    /// All tickets that this guard has started or might have started.
+    std::vector<ticket_id> possibly_started_by(incarnation_id guard) const;
 
     std::size_t size() const { return tickets_.size(); }
 
--- a/include/wrenswitch/decision/language/command.hpp
+++ b/include/wrenswitch/decision/language/command.hpp
@@ -8,7 +8,7 @@
 
 namespace wrenswitch {
 
-/// What a statement does.
+/// The verb of a statement.
 enum class command_verb {
     show,
     create,
@@ -21,26 +21,26 @@
     commit,
 };
 
-/// The name of a verb as it is written.
+/// The keyword of a verb.
 std::string_view name_of(command_verb verb);
 
-/// One `name = value` of a statement.
+/// One `name = value` assignment of a statement.
 struct command_assignment {
     std::string name;
     std::string value;
 };
 
-/// How a column is compared.
+/// The comparison operator of a condition.
 enum class command_comparison { equal, not_equal, less, greater };
 
-/// One condition of a `where`.
+/// One condition of a `where` clause.
 struct command_condition {
     std::string column;
     command_comparison comparison = command_comparison::equal;
     std::string value;
 };
 
-/// One statement of the operators' language.
+/// One parsed statement of the operator command language.
 struct command {
     command_verb verb = command_verb::show;
     /// client_account, budget, service, host, grant, member, fence or configuration.
@@ -52,14 +52,14 @@
     std::string order_by;
     bool descending = false;
     std::optional<std::uint64_t> limit;
-    /// The change is refused unless this version is in force.
+    /// If set, the change is refused unless the configuration has this version.
     std::optional<std::uint64_t> if_version;
-    /// Says what would happen and changes nothing.
+    /// True to report the effect without applying it.
     bool dry_run = false;
-    /// Where it stands in its script, as line and column.
+    /// The start of the statement in its script, as "line L, column C".
     std::string place;
 
-    /// The value of an assignment, or null.
+    /// Returns the value assigned to a name, or null.
     const std::string* find(std::string_view assignment) const;
 };
 
--- a/include/wrenswitch/decision/language/command_checker.hpp
+++ b/include/wrenswitch/decision/language/command_checker.hpp
@@ -9,15 +9,17 @@
 
 namespace wrenswitch {
 
-/// Checks what the grammar cannot: that a noun has the attributes that are given, that values are
-/// in range, and that what stands between begin and commit can be one change.
+/// Checks what the grammar cannot: that a noun has the given attributes, that values are in range,
+/// and that a begin/commit block contains only configuration changes. Adds a finding per violation.
 void check_commands(std::span<const command> commands, findings& problems);
 
-/// True if the statement changes the configuration, rather than the ledger or nothing.
+/// True if the statement changes the configuration; false if it changes the ledger or nothing.
 bool changes_configuration(const command& statement);
 
-/// The change that a checked statement stands for. What a `change` statement does not name keeps
-/// its value from the configuration. An error names what is missing or wrong.
-result<configuration_change> change_of(const command& statement, const configuration& current);
+/// Converts a checked statement to a configuration change. Attributes that a `change` statement
+/// omits keep their current values. Fails if the object to create exists, if the object to change
+/// does not, or if the statement does not change the configuration.
+result<configuration_change> to_configuration_change(const command& statement,
+                                                     const configuration& current);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/language/command_parser.hpp
+++ b/include/wrenswitch/decision/language/command_parser.hpp
@@ -8,8 +8,9 @@
 
 namespace wrenswitch {
 
-/// Reads a script: statements with semicolons between them; `--` begins a comment. All findings of
-/// all statements are collected; if there are any, nothing of the script may take effect.
+/// Parses a script of statements separated by semicolons; `--` starts a comment. Adds one finding
+/// for each statement with a syntax error. If there are findings, the caller must not execute any
+/// statement of the script.
 std::vector<command> parse_commands(std::string_view script, findings& problems);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/ledger/key_memory.hpp
+++ b/include/wrenswitch/decision/ledger/key_memory.hpp
@@ -9,49 +9,49 @@
 
 namespace wrenswitch {
 
-/// What is known of one request key.
-struct key_facts {
-    /// The ticket that holds the claim, or zero.
+/// The recorded state of one request key.
+struct request_key_state {
+    /// The ticket that claimed the key, or zero.
     ticket_id claimed_by{};
     bool billed = false;
 
-    friend bool operator==(const key_facts&, const key_facts&) = default;
+    friend bool operator==(const request_key_state&, const request_key_state&) = default;
 };
 
-/// Remembers request keys and charged tickets of a ledger stream for a bounded number of them. Two
-/// generations are kept: when the younger is full it becomes the older and the older is forgotten.
-/// That depends on the stream alone, so all readers forget at the same record.
-class key_memory {
+/// Bounded history of request keys and settled tickets for detecting duplicates. It keeps two
+/// generations: when the younger one is full, it replaces the older one, which is dropped. Eviction
+/// depends on the ledger stream alone, so all replicas evict at the same record.
+class request_history {
 public:
-    /// The number of entries after which a generation is full.
-    explicit key_memory(std::size_t generation_size) : generation_size_(generation_size) {}
+    /// A generation is full at this number of entries, keys and tickets together.
+    explicit request_history(std::size_t generation_size) : generation_size_(generation_size) {}
 
-    /// One generation's keys and charged tickets.
+    /// The keys and settled tickets of one generation.
     struct generation {
-        std::unordered_map<digest, key_facts> keys;
+        std::unordered_map<digest, request_key_state> keys;
         std::unordered_set<ticket_id> tickets;
 
         friend bool operator==(const generation&, const generation&) = default;
     };
 
-    friend bool operator==(const key_memory&, const key_memory&) = default;
+    friend bool operator==(const request_history&, const request_history&) = default;
 
-    /// The facts of a key, all unset if it is not remembered.
-    key_facts facts_of(const digest& key) const;
+    /// Returns the state of a key, or the default state if the key is not remembered.
+    request_key_state key_state(const digest& key) const;
 
-    /// Replaces the facts of a key and counts it as new.
-    void put(const digest& key, key_facts facts);
+    /// Sets the state of a key in the younger generation.
+    void set_key_state(const digest& key, request_key_state state);
 
-    /// True if the ticket was charged.
+    /// True if the ticket is remembered as settled.
     bool has_ticket(ticket_id ticket) const;
 
-    /// Remembers a charged ticket.
+    /// Records a settled ticket.
     void add_ticket(ticket_id ticket);
 
     const generation& younger() const { return younger_; }
     const generation& older() const { return older_; }
 
-    /// Puts back what a snapshot held.
+    /// Replaces the history with the contents of a snapshot.
     void restore(generation younger, generation older);
 
 private:
--- a/include/wrenswitch/decision/ledger/ledger_operation.hpp
+++ b/include/wrenswitch/decision/ledger/ledger_operation.hpp
@@ -10,29 +10,29 @@
 
 namespace wrenswitch {
 
-/// Creates a budget or changes its limit. Refused if the limit is below what is already committed.
+/// Creates a budget or changes its limit. Refused if the limit is below the committed tokens.
 struct set_budget_operation {
     operation_id operation{};
     std::string name;
     tokens limit = 0;
 };
 
-/// Asks for tokens of a budget to be held by the writer. What is granted is the amount or what is
-/// left. If that is less than the need, the rest of the need waits for tokens to come free.
+/// Requests a grant of tokens for the writer. Grants the amount, or what is available if that is
+/// less. A need beyond the granted tokens is queued until tokens become available.
 struct draw_operation {
     budget_id budget{};
     tokens amount = 0;
     tokens need = 0;
 };
 
-/// Gives tokens back that the writer holds and has not reserved.
+/// Returns tokens that the writer holds and has not reserved.
 struct return_operation {
     budget_id budget{};
     tokens amount = 0;
 };
 
-/// What the use of one ticket costs: an upper bound while the request runs, the true figure after
-/// its end. A ticket is used at most once, so it names the charge.
+/// The cost of the request that used one ticket: the upper bound while it runs, the actual cost
+/// after its end. A ticket is used at most once, so it identifies the charge.
 struct charge {
     budget_id budget{};
     incarnation_id holder{};
@@ -44,29 +44,31 @@
     friend bool operator==(const charge&, const charge&) = default;
 };
 
-/// Bills one ended request.
+/// Settles the charge of one completed request.
 struct settle_operation {
     charge settled;
 };
 
-/// The writer stops as planned: all that it held is settled or free.
+/// Closes the writer at an orderly shutdown: its charges are settled, its other tokens are
+/// released.
 struct close_holder_operation {};
 
-/// Ends the grants of a fenced holder. The charges are those that all guards' marks listed.
+/// Revokes the grants of a fenced holder. The charges are those listed in all guards' fence
+/// acknowledgements.
 struct reclaim_operation {
     incarnation_id holder{};
     std::vector<charge> charges;
 };
 
-/// Asks for the shard's key grant: the right to decide which requests that may not be repeated run.
-/// One holder has it at a time, until it releases it, closes or is reclaimed.
-struct hold_keys_operation {};
+/// Acquires the key lock of the shard. Its holder alone decides which non-repeatable requests run.
+/// It is held until the holder unlocks it, closes or is reclaimed.
+struct lock_keys_operation {};
 
-/// Gives the key grant back. All claims of the writer stand before it.
-struct release_keys_operation {};
+/// Releases the key lock. All key claims of the writer must precede it in the stream.
+struct unlock_keys_operation {};
 
-/// Writes down that a request that may not be repeated was given this ticket. The holder of the key
-/// grant writes it behind: until then, it and the guards are the witnesses.
+/// Records the ticket issued to a non-repeatable request. The holder of the key lock appends it
+/// after issuing the ticket; until then only the holder and the guards know of the claim.
 struct claim_key_operation {
     digest key;
     ticket_id ticket{};
@@ -75,26 +77,26 @@
 using ledger_operation =
     std::variant<set_budget_operation, draw_operation, return_operation, settle_operation,
                  close_holder_operation, reclaim_operation, claim_key_operation,
-                 hold_keys_operation, release_keys_operation>;
+                 lock_keys_operation, unlock_keys_operation>;
 
 /// One record of a ledger stream. A writer numbers its batches from 1 and appends one at a time, so
-/// a second copy of a batch is known by its number.
+/// the sequence number identifies duplicates.
 struct ledger_batch {
     incarnation_id writer{};
     std::uint64_t sequence = 0;
     std::vector<ledger_operation> operations;
 };
 
-/// What the fold did with one operation.
+/// The result of applying one operation to the ledger.
 enum class operation_outcome {
     accepted,
-    /// A draw got less than its need; the rest waits.
+    /// A draw was granted less than its need; the rest is queued.
     partly_granted,
-    /// The ticket's charge was counted before; nothing changed.
+    /// The ticket was settled before; nothing changed.
     already_settled,
-    /// The key was billed with another ticket: the tokens count as burnt, not as billed.
+    /// The key was billed with another ticket; the tokens are counted as burnt instead.
     billed_once_already,
-    /// No grant covers the charge; it is counted all the same and shown to operators.
+    /// The charge exceeds the grant. It is counted in full, and the excess is shown to operators.
     unbacked,
     refused_unknown_budget,
     refused_name_clash,
@@ -103,11 +105,11 @@
     refused_closed_holder,
     refused_exceeds_holding,
     refused_key_claimed,
-    /// Another holder has the key grant.
+    /// Another holder has the key lock.
     refused_keys_held,
 };
 
-/// The name of an outcome as logs and replies show it.
+/// The name of an outcome in logs and replies.
 std::string_view name_of(operation_outcome outcome);
 
 /// True if the operation took effect.
--- a/include/wrenswitch/decision/ledger/ledger_state.hpp
+++ b/include/wrenswitch/decision/ledger/ledger_state.hpp
@@ -10,61 +10,61 @@
 
 namespace wrenswitch {
 
-/// What the ledger remembers of a writer of batches.
+/// The ledger's record of a writer.
 struct ledger_writer {
     std::uint64_t last_sequence = 0;
-    /// A closed writer holds nothing and can draw no more.
+    /// True after close or reclaim: the writer holds nothing and its draws are refused.
     bool closed = false;
 
     friend bool operator==(const ledger_writer&, const ledger_writer&) = default;
 };
 
-/// The fold of one ledger stream: a pure function of its records in offset order. Every reader
-/// computes the same state, and an operation is accepted or refused by that state alone. The sum of
-/// what is billed, burnt, held and running never exceeds a budget's limit through a draw.
+/// The replicated state of one ledger stream: a pure function of its records in offset order. Every
+/// replica computes the same state, which alone decides whether an operation is accepted. A draw
+/// never raises the sum of billed, burnt, held and running tokens above the limit of the budget.
 ///
 /// spec/budget.pml models draw, settle and reclaim.
 class ledger_state {
 public:
-    /// The number of request keys and tickets that one generation of the key memory takes. At the
-    /// design size a shard settles 21 requests a second, each of which adds a key and a ticket, so
-    /// that two generations span from 16 to 32 minutes; a snapshot carries both.
-    static constexpr std::size_t default_key_generation = 40'000;
+    /// The capacity of one generation of the request history, in keys and tickets. At the design
+    /// size a shard settles 21 requests per second, each of which adds a key and a ticket, so the
+    /// two generations cover 16 to 32 minutes. Snapshots contain both generations.
+    static constexpr std::size_t default_generation_size = 40'000;
 
-    explicit ledger_state(std::size_t key_generation = default_key_generation)
-        : keys_(key_generation) {}
+    explicit ledger_state(std::size_t generation_size = default_generation_size)
+        : history_(generation_size) {}
 
     friend bool operator==(const ledger_state&, const ledger_state&) = default;
 
-    /// Applies one batch. Returns one outcome an operation, or nothing for a second copy.
+    /// Applies one batch. Returns one outcome per operation, or none if the batch is a duplicate.
     std::vector<operation_outcome> apply(const ledger_batch& batch);
 
-    /// The budget with this identifier, or null.
+    /// Returns the budget with this identifier, or null.
     const budget_state* find(budget_id budget) const;
 
-    /// All budgets, in no order.
+    /// All budgets, in unspecified order.
     const std::unordered_map<budget_id, budget_state>& budgets() const { return budgets_; }
 
-    /// All writers, in no order.
+    /// All writers, in unspecified order.
     const std::unordered_map<incarnation_id, ledger_writer>& writers() const { return writers_; }
 
-    const key_memory& keys() const { return keys_; }
+    const request_history& history() const { return history_; }
 
-    /// The holder of the key grant, or zero.
+    /// The holder of the key lock, or zero.
     incarnation_id key_holder() const { return key_holder_; }
 
-    /// The number of the last batch of this writer that was applied, or zero.
+    /// The sequence number of the last batch applied from this writer, or zero.
     std::uint64_t last_sequence_of(incarnation_id writer) const;
 
-    /// True if the holder stopped as planned or was reclaimed.
+    /// True if the holder was closed or reclaimed.
     bool is_closed(incarnation_id holder) const;
 
-    /// The budgets of which this holder holds tokens or waits for some.
+    /// The budgets of which this holder holds tokens or has an unmet need.
     std::vector<budget_id> budgets_of(incarnation_id holder) const;
 
-    /// Puts back what a snapshot held.
+    /// Replaces the state with the contents of a snapshot.
     void restore(std::unordered_map<budget_id, budget_state> budgets,
-                 std::unordered_map<incarnation_id, ledger_writer> writers, key_memory keys,
+                 std::unordered_map<incarnation_id, ledger_writer> writers, request_history history,
                  incarnation_id key_holder);
 
 private:
@@ -76,19 +76,19 @@
     operation_outcome apply_settle(const charge& settled);
     operation_outcome apply_close(incarnation_id holder);
     operation_outcome apply_reclaim(const reclaim_operation& operation);
-    operation_outcome apply_claim(incarnation_id writer, const claim_key_operation& operation);
-    operation_outcome apply_hold_keys(incarnation_id writer);
-    operation_outcome apply_release_keys(incarnation_id writer);
+    operation_outcome apply_claim_key(incarnation_id writer, const claim_key_operation& operation);
+    operation_outcome apply_lock_keys(incarnation_id writer);
+    operation_outcome apply_unlock_keys(incarnation_id writer);
     void close_holder(incarnation_id holder);
 
-    tokens take_from_grant(budget_state& budget, const charge& settled);
-    void keep_running(budget_state& budget, const charge& listed);
+    tokens consume_grant(budget_state& budget, const charge& settled);
+    void track_running(budget_state& budget, const charge& listed);
     void release_holdings(incarnation_id holder);
-    static void serve_waiting(budget_state& budget);
+    static void grant_waiting(budget_state& budget);
 
     std::unordered_map<budget_id, budget_state> budgets_;
     std::unordered_map<incarnation_id, ledger_writer> writers_;
-    key_memory keys_;
+    request_history history_;
     incarnation_id key_holder_{};
 };
 
--- a/src/decision/control/configuration.cpp
+++ b/src/decision/control/configuration.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t sha256_hex_length = 64;
-constexpr std::uint32_t least_urgent_priority = 7;
+constexpr std::uint32_t lowest_priority = 7;
 
 }  // namespace
 
@@ -19,36 +19,36 @@
 }
 
 struct configuration::visitor {
-    configuration& target;
+    configuration& config;
 
     change_outcome operator()(const put_client_account& change) const {
         const client_account& account = change.account;
         const bool valid = !account.name.empty() && !account.budget.empty() &&
                            account.key_sha256.size() == sha256_hex_length &&
-                           account.priority <= least_urgent_priority;
+                           account.priority <= lowest_priority;
         if (!valid) {
             return change_outcome::refused_bad_value;
         }
-        const auto same_key = target.accounts_by_key_.find(account.key_sha256);
-        if (same_key != target.accounts_by_key_.end() && same_key->second != account.name) {
+        const auto same_key = config.accounts_by_key_.find(account.key_sha256);
+        if (same_key != config.accounts_by_key_.end() && same_key->second != account.name) {
             return change_outcome::refused_bad_value;
         }
-        const auto known = target.client_accounts_.find(account.name);
-        if (known != target.client_accounts_.end()) {
-            target.accounts_by_key_.erase(known->second.key_sha256);
+        const auto known = config.client_accounts_.find(account.name);
+        if (known != config.client_accounts_.end()) {
+            config.accounts_by_key_.erase(known->second.key_sha256);
         }
-        target.accounts_by_key_[account.key_sha256] = account.name;
-        target.client_accounts_[account.name] = account;
+        config.accounts_by_key_[account.key_sha256] = account.name;
+        config.client_accounts_[account.name] = account;
         return change_outcome::accepted;
     }
 
     change_outcome operator()(const remove_client_account& change) const {
-        const auto known = target.client_accounts_.find(change.name);
-        if (known == target.client_accounts_.end()) {
+        const auto known = config.client_accounts_.find(change.name);
+        if (known == config.client_accounts_.end()) {
             return change_outcome::refused_unknown_name;
         }
-        target.accounts_by_key_.erase(known->second.key_sha256);
-        target.client_accounts_.erase(known);
+        config.accounts_by_key_.erase(known->second.key_sha256);
+        config.client_accounts_.erase(known);
         return change_outcome::accepted;
     }
 
@@ -58,12 +58,12 @@
         if (!valid) {
             return change_outcome::refused_bad_value;
         }
-        target.services_[change.value.name] = change.value;
+        config.services_[change.value.name] = change.value;
         return change_outcome::accepted;
     }
 
     change_outcome operator()(const remove_service& change) const {
-        return target.services_.erase(change.name) > 0 ? change_outcome::accepted
+        return config.services_.erase(change.name) > 0 ? change_outcome::accepted
                                                        : change_outcome::refused_unknown_name;
     }
 
@@ -71,22 +71,22 @@
         if (change.host.empty()) {
             return change_outcome::refused_bad_value;
         }
-        target.drained_hosts_.insert(change.host);
+        config.drained_hosts_.insert(change.host);
         return change_outcome::accepted;
     }
 
     change_outcome operator()(const undrain_host& change) const {
-        return target.drained_hosts_.erase(change.host) > 0 ? change_outcome::accepted
+        return config.drained_hosts_.erase(change.host) > 0 ? change_outcome::accepted
                                                             : change_outcome::refused_unknown_name;
     }
 };
 
 change_outcome configuration::apply(const change_set& set) {
-    if (set.guarded && set.base_version != version_) {
+    if (set.check_base_version && set.base_version != version_) {
         return change_outcome::refused_conflict;
     }
-    // A set that fails half way must leave no trace, so the changes go to a copy first when there
-    // are several; a single change alters nothing unless it is accepted.
+    // Several changes are applied to a copy, so that a refused one discards the whole set. A single
+    // change modifies nothing unless it is accepted and needs no copy.
     if (set.changes.size() == 1) {
         const change_outcome outcome = std::visit(visitor{*this}, set.changes.front());
         version_ += outcome == change_outcome::accepted ? 1 : 0;
@@ -118,8 +118,8 @@
     if (found == client_accounts_.end()) {
         return nullptr;
     }
-    // The tree's search compared digests, which tell nothing of the key; the last comparison is in
-    // constant time all the same.
+    // The map lookup is not constant-time, but it compares only digests, which do not reveal the
+    // key. The final comparison is constant-time as an additional protection.
     return equal_in_constant_time(found->second.key_sha256, key_sha256) ? &found->second : nullptr;
 }
 
--- a/src/decision/control/control_state.cpp
+++ b/src/decision/control/control_state.cpp
@@ -5,15 +5,16 @@
 namespace wrenswitch {
 namespace {
 
-/// How many operators' changes are remembered for repeats: more than a day's at the design size.
-constexpr std::size_t remembered_operations = 4096;
+/// The number of change sets remembered to detect repeats: more than a day's at the design size.
+constexpr std::size_t max_remembered_operations = 4096;
 
-/// How many fences are remembered beyond those that are open: months' at 10 failures a day.
-constexpr std::size_t remembered_fences = 1024;
+/// The number of fences remembered; incomplete ones are kept in any case. At 10 failures a day this
+/// covers months.
+constexpr std::size_t max_remembered_fences = 1024;
 
-/// How many members that are gone are remembered: a week's at 290 restarts a day. Who asks for an
-/// older one finds it unknown, which is refused as well.
-constexpr std::size_t remembered_gone_members = 2048;
+/// The number of closed or fenced members remembered: a week's at 290 restarts a day. Older ones
+/// are unknown, and requests from unknown members are refused too.
+constexpr std::size_t max_remembered_inactive_members = 2048;
 
 }  // namespace
 
@@ -24,7 +25,7 @@
     control_effect& effect;
 
     void operator()(const register_record& record) const {
-        state.apply_register(writer, record.self, offset);
+        state.apply_registration(writer, record.info, offset);
         effect.membership_changed = true;
     }
     void operator()(const close_record&) const {
@@ -35,9 +36,9 @@
         state.apply_fence(record.incarnation, offset);
         effect.membership_changed = true;
     }
-    void operator()(const marks_record& record) const {
-        for (const fence_mark& mark : record.marks) {
-            state.apply_mark(mark);
+    void operator()(const fence_acks_record& record) const {
+        for (const fence_ack& ack : record.acks) {
+            state.apply_ack(ack);
         }
     }
     void operator()(const change_set& set) const {
@@ -84,12 +85,12 @@
     return found == sequences_.end() ? 0 : found->second;
 }
 
-control_state::image control_state::to_image() const {
+control_state::snapshot control_state::to_snapshot() const {
     return {configuration_,   members_,    sequences_,       fences_,
             operation_order_, operations_, last_guard_fence_};
 }
 
-void control_state::restore(image saved) {
+void control_state::restore(snapshot saved) {
     configuration_ = std::move(saved.config);
     members_ = std::move(saved.members);
     sequences_ = std::move(saved.sequences);
@@ -99,51 +100,52 @@
     last_guard_fence_ = saved.last_guard_fence;
 }
 
-void control_state::apply_register(incarnation_id writer, const registration& self,
-                                   log_offset offset) {
+void control_state::apply_registration(incarnation_id writer, const registration& info,
+                                       log_offset offset) {
     if (members_.count(writer) > 0) {
         return;
     }
-    members_[writer] = member{writer, self, offset, false, {}};
-    forget_old_members();
+    members_[writer] = member{writer, info, offset, false, {}};
+    evict_members();
 }
 
-bool control_state::may_be_forgotten(const member& known) const {
+bool control_state::is_evictable(const member& known) const {
     if (known.closed) {
         return true;
     }
-    // A fenced guard must be remembered: fences of entries that did not mark it wait for it.
+    // A fenced guard must be kept: fences of entries that did not acknowledge its fence wait for
+    // its acknowledgement.
     const auto fence = fences_.find(known.incarnation);
-    return known.fenced() && known.self.role == member_role::entry &&
+    return known.fenced() && known.info.role == member_role::entry &&
            (fence == fences_.end() || fence->second.complete());
 }
 
-void control_state::forget_old_members() {
-    std::vector<const member*> gone;
-    if (members_.size() <= remembered_gone_members) {
+void control_state::evict_members() {
+    std::vector<const member*> evictable;
+    if (members_.size() <= max_remembered_inactive_members) {
         return;
     }
     for (const auto& [id, known] : members_) {
-        if (may_be_forgotten(known)) {
-            gone.push_back(&known);
+        if (is_evictable(known)) {
+            evictable.push_back(&known);
         }
     }
-    if (gone.size() <= remembered_gone_members) {
+    if (evictable.size() <= max_remembered_inactive_members) {
         return;
     }
-    std::sort(gone.begin(), gone.end(), [](const member* left, const member* right) {
+    std::sort(evictable.begin(), evictable.end(), [](const member* left, const member* right) {
         return left->registered_at < right->registered_at;
     });
-    // A quarter at a time, so that the search is not made at every registration.
-    constexpr std::size_t part = 4;
-    gone.resize(gone.size() / part);
-    std::vector<incarnation_id> names;
-    names.reserve(gone.size());
-    for (const member* known : gone) {
-        names.push_back(known->incarnation);
+    // Erases a quarter at a time, so that not every registration scans all members.
+    constexpr std::size_t eviction_divisor = 4;
+    evictable.resize(evictable.size() / eviction_divisor);
+    std::vector<incarnation_id> evicted;
+    evicted.reserve(evictable.size());
+    for (const member* known : evictable) {
+        evicted.push_back(known->incarnation);
     }
-    for (const incarnation_id name : names) {
-        members_.erase(name);
+    for (const incarnation_id id : evicted) {
+        members_.erase(id);
     }
 }
 
@@ -154,7 +156,7 @@
     }
     found->second.closed = true;
     for (auto& [fenced, fence] : fences_) {
-        fence.awaited.erase(writer);
+        fence.pending_acks.erase(writer);
     }
 }
 
@@ -163,25 +165,25 @@
     if (found == members_.end() || !found->second.active()) {
         return;
     }
-    member& target = found->second;
-    target.fenced_at = offset;
+    member& fenced_member = found->second;
+    fenced_member.fenced_at = offset;
     fence_state fence;
     fence.fenced = fenced;
     fence.offset = offset;
-    if (target.self.role == member_role::guard) {
+    if (fenced_member.info.role == member_role::guard) {
         last_guard_fence_ = offset;
     } else {
         for (const auto& [id, other] : members_) {
-            if (other.self.role == member_role::guard && must_mark(other, target)) {
-                fence.awaited.insert(id);
+            if (other.info.role == member_role::guard && must_acknowledge(other, fenced_member)) {
+                fence.pending_acks.insert(id);
             }
         }
     }
     fences_[fenced] = std::move(fence);
-    forget_old_fences();
+    evict_fences();
 }
 
-bool control_state::must_mark(const member& guard, const member& fenced_entry) const {
+bool control_state::must_acknowledge(const member& guard, const member& fenced_entry) const {
     if (guard.closed) {
         return false;
     }
@@ -192,37 +194,37 @@
         return false;
     }
     const auto fence = fences_.find(guard.incarnation);
-    return fence == fences_.end() || fence->second.marked_by.count(fenced_entry.incarnation) == 0;
+    return fence == fences_.end() || fence->second.acked_by.count(fenced_entry.incarnation) == 0;
 }
 
-void control_state::apply_mark(const fence_mark& mark) {
-    const auto found = fences_.find(mark.fenced);
+void control_state::apply_ack(const fence_ack& ack) {
+    const auto found = fences_.find(ack.fenced);
     if (found == fences_.end()) {
         return;
     }
     fence_state& fence = found->second;
-    if (!wants_mark(mark.fenced, mark.marker)) {
+    if (!wants_ack(ack.fenced, ack.sender)) {
         return;
     }
-    fence.marked_by.insert(mark.marker);
-    fence.awaited.erase(mark.marker);
-    fence.charges.insert(fence.charges.end(), mark.charges.begin(), mark.charges.end());
-    const member* fenced = find(mark.fenced);
-    const bool of_entry = fenced == nullptr || fenced->self.role == member_role::entry;
-    if (of_entry && fence.complete()) {
-        fence.marked_by.clear();
+    fence.acked_by.insert(ack.sender);
+    fence.pending_acks.erase(ack.sender);
+    fence.charges.insert(fence.charges.end(), ack.charges.begin(), ack.charges.end());
+    const member* fenced = find(ack.fenced);
+    const bool is_entry_fence = fenced == nullptr || fenced->info.role == member_role::entry;
+    if (is_entry_fence && fence.complete()) {
+        fence.acked_by.clear();
     }
 }
 
-bool control_state::wants_mark(incarnation_id fenced, incarnation_id marker) const {
+bool control_state::wants_ack(incarnation_id fenced, incarnation_id sender) const {
     const auto found = fences_.find(fenced);
     if (found == fences_.end()) {
         return false;
     }
     const member* known = find(fenced);
-    const bool of_guard = known != nullptr && known->self.role == member_role::guard;
-    return of_guard ? found->second.marked_by.count(marker) == 0
-                    : found->second.awaited.count(marker) > 0;
+    const bool is_guard_fence = known != nullptr && known->info.role == member_role::guard;
+    return is_guard_fence ? found->second.acked_by.count(sender) == 0
+                          : found->second.pending_acks.count(sender) > 0;
 }
 
 change_outcome control_state::apply_change(const change_set& set) {
@@ -233,15 +235,15 @@
     const change_outcome outcome = configuration_.apply(set);
     operations_[set.operation] = outcome;
     operation_order_.push_back(set.operation);
-    if (operation_order_.size() > remembered_operations) {
+    if (operation_order_.size() > max_remembered_operations) {
         operations_.erase(operation_order_.front());
         operation_order_.pop_front();
     }
     return outcome;
 }
 
-void control_state::forget_old_fences() {
-    while (fences_.size() > remembered_fences) {
+void control_state::evict_fences() {
+    while (fences_.size() > max_remembered_fences) {
         auto oldest = fences_.end();
         for (auto item = fences_.begin(); item != fences_.end(); ++item) {
             const bool older =
--- a/src/decision/home/budget_home.cpp
+++ b/src/decision/home/budget_home.cpp
@@ -5,275 +5,289 @@
 namespace wrenswitch {
 namespace {
 
-/// How soon a caller may ask again when the key's first request is still on its way.
+/// Retry interval while the first request with the same key is in progress.
 constexpr microseconds in_progress_retry = milliseconds(50);
 
-/// How soon a caller may ask again when tokens may come back from other homes.
+/// Retry interval while other allocators may still return tokens.
 constexpr microseconds exhausted_retry = seconds(2);
 
-/// How soon a caller may ask again when the log is out.
+/// Retry interval while the log cannot be reached.
 constexpr microseconds unreachable_retry = seconds(10);
 
-/// How soon a caller may ask again when nobody decides about keys now.
-constexpr microseconds keys_retry = seconds(2);
+/// Retry interval while this allocator does not hold the key lock.
+constexpr microseconds key_lock_retry = seconds(2);
 
-/// At most this many operations go into one record.
-constexpr std::size_t most_operations_a_batch = 2000;
+/// The maximum number of operations in one ledger record.
+constexpr std::size_t max_batch_operations = 2000;
 
-/// How much the latest request counts in the average of what requests cost of their bounds.
+/// The weight of the latest request in the moving average of cost divided by bound.
 constexpr double cost_share_weight = 0.05;
 
-reservation_answer refused(reservation_outcome outcome, microseconds retry_after) {
-    reservation_answer answer;
-    answer.outcome = outcome;
-    answer.retry_after = retry_after;
-    return answer;
+reservation_reply refusal(reservation_outcome outcome, microseconds retry_after) {
+    reservation_reply reply;
+    reply.outcome = outcome;
+    reply.retry_after = retry_after;
+    return reply;
 }
 
 }  // namespace
 
-budget_home::budget_home(home_settings settings, const ledger_state& ledger, random_source& random,
-                         answer_hook on_answer)
+budget_allocator::budget_allocator(allocator_settings settings, const ledger_state& ledger,
+                                   random_source& random, reply_hook on_reply)
     : settings_(std::move(settings)),
       ledger_(ledger),
       random_(random),
-      on_answer_(std::move(on_answer)),
-      keys_(settings_.remembered_keys) {}
+      on_reply_(std::move(on_reply)),
+      keys_(settings_.max_request_keys) {}
 
-std::optional<reservation_answer> budget_home::reserve(instant now, const reservation_ask& ask) {
-    const budget_id budget = budget_id_of(ask.budget);
+std::optional<reservation_reply> budget_allocator::reserve(instant now,
+                                                           const reservation_request& request) {
+    const budget_id budget = budget_id_of(request.budget);
     const budget_state* state = ledger_.find(budget);
     if (state == nullptr) {
-        return refused(reservation_outcome::no_budget, microseconds(0));
+        return refusal(reservation_outcome::no_budget, microseconds(0));
     }
-    const bool replaces = ask.replaces != ticket_id{} && ask.repeatable;
+    const bool replaces = request.replaces != ticket_id{} && request.repeatable;
     if (!replaces) {
-        if (auto known = answer_from_key(ask)) {
+        if (auto known = reply_for_known_key(request)) {
             return known;
         }
     }
     account& local = account_of(budget);
-    local.largest_bound = std::max(local.largest_bound, ask.bound);
-    if (!ask.repeatable) {
-        if (!holds_keys()) {
-            return answer_without_keys(now, ask, budget);
+    local.largest_bound = std::max(local.largest_bound, request.bound);
+    if (!request.repeatable) {
+        if (!holds_key_lock()) {
+            return reply_without_key_lock(now, request, budget);
         }
-        if (may_have_run(ask.key)) {
-            return refused(reservation_outcome::unknown_outcome, microseconds(0));
+        if (may_have_run(request.key)) {
+            return refusal(reservation_outcome::unknown_outcome, microseconds(0));
         }
     }
-    if (free_of(budget) >= ask.bound) {
-        return grant(now, ask, budget);
+    if (free_tokens(budget) >= request.bound) {
+        return issue_ticket(now, request, budget);
     }
-    if (can_never_pay(ask, *state) || ask.wait <= microseconds(0)) {
-        note_refused_demand(now, ask, budget);
-        return refusal_of(ask, budget);
+    if (exceeds_budget(request, *state) || request.max_wait <= microseconds(0)) {
+        record_refused_demand(now, request, budget);
+        return make_refusal(request, budget);
     }
-    park(now, ask, budget, false);
-    consult_policy(now, budget);
+    add_waiting_request(now, request, budget, false);
+    apply_policy(now, budget);
     return std::nullopt;
 }
 
-std::optional<reservation_answer> budget_home::answer_from_key(const reservation_ask& ask) const {
-    const request_entry* known = keys_.find(ask.key);
+std::optional<reservation_reply> budget_allocator::reply_for_known_key(
+    const reservation_request& request) const {
+    const request_key_entry* known = keys_.find(request.key);
     if (known == nullptr) {
-        const bool waits =
-            std::any_of(parked_.begin(), parked_.end(),
-                        [&ask](const parked_ask& item) { return item.ask.key == ask.key; });
-        if (waits) {
-            return refused(reservation_outcome::in_progress, in_progress_retry);
+        const bool is_waiting = std::any_of(
+            waiting_requests_.begin(), waiting_requests_.end(),
+            [&request](const waiting_request& item) { return item.request.key == request.key; });
+        if (is_waiting) {
+            return refusal(reservation_outcome::in_progress, in_progress_retry);
         }
         return std::nullopt;
     }
-    if (known->body != ask.body) {
-        return refused(reservation_outcome::key_reused, microseconds(0));
+    if (known->body != request.body) {
+        return refusal(reservation_outcome::key_reused, microseconds(0));
     }
     switch (known->phase) {
         case request_phase::reserved:
-            return refused(reservation_outcome::in_progress, in_progress_retry);
+            return refusal(reservation_outcome::in_progress, in_progress_retry);
         case request_phase::started:
         case request_phase::ended: {
             if (known->guard_endpoint.empty()) {
                 break;
             }
-            reservation_answer answer;
-            answer.outcome = reservation_outcome::join;
-            answer.guard_endpoint = known->guard_endpoint;
-            answer.guard = known->guard;
-            return answer;
+            reservation_reply reply;
+            reply.outcome = reservation_outcome::join;
+            reply.guard_endpoint = known->guard_endpoint;
+            reply.guard = known->guard;
+            return reply;
         }
         case request_phase::lost:
             break;
     }
-    if (!ask.repeatable) {
-        return refused(reservation_outcome::unknown_outcome, microseconds(0));
+    if (!request.repeatable) {
+        return refusal(reservation_outcome::unknown_outcome, microseconds(0));
     }
     return std::nullopt;
 }
 
-reservation_answer budget_home::grant(instant now, const reservation_ask& ask, budget_id budget) {
-    reservation_answer answer;
-    answer.outcome = reservation_outcome::granted;
-    answer.granted = ticket{random_.next_id<ticket_id>(),
-                            settings_.incarnation,
-                            settings_.endpoint,
-                            budget,
-                            ask.key,
-                            ask.bound,
-                            least_control_offset_,
-                            control_offset_};
-    account_of(budget).reserved += ask.bound;
+reservation_reply budget_allocator::issue_ticket(instant now, const reservation_request& request,
+                                                 budget_id budget) {
+    reservation_reply reply;
+    reply.outcome = reservation_outcome::granted;
+    reply.granted = ticket{random_.next_id<ticket_id>(),
+                           settings_.incarnation,
+                           settings_.endpoint,
+                           budget,
+                           request.key,
+                           request.bound,
+                           least_control_offset_,
+                           control_offset_};
+    account_of(budget).reserved += request.bound;
     issued_ticket issued;
-    issued.value = answer.granted;
+    issued.value = reply.granted;
     issued.issued_at = now;
-    issued.repeatable = ask.repeatable;
+    issued.repeatable = request.repeatable;
     tickets_.add(std::move(issued));
-    if (!ask.repeatable) {
-        // Written behind: until then this home and the guard are the witnesses.
-        unused_claims_.erase(ask.key);
-        unwritten_claims_.insert(ask.key);
-        pending_.emplace_back(claim_key_operation{ask.key, answer.granted.id});
-    }
-    if (ask.keyed || !ask.repeatable) {
-        // Neither can fail: answer_from_key was asked just before, or the asker replaces its own.
-        const bool replaced = ask.replaces != ticket_id{} &&
-                              keys_.replace(ask.key, ask.replaces, answer.granted.id).has_value();
+    if (!request.repeatable) {
+        // The claim is appended after the ticket is issued; until then only this allocator and the
+        // guard know of it.
+        unused_claims_.erase(request.key);
+        unwritten_claims_.insert(request.key);
+        pending_.emplace_back(claim_key_operation{request.key, reply.granted.id});
+    }
+    if (request.keyed || !request.repeatable) {
+        // Neither call can fail: reserve() checked the key just before, or the sender replaces its
+        // own ticket.
+        const bool replaced =
+            request.replaces != ticket_id{} &&
+            keys_.replace(request.key, request.replaces, reply.granted.id).has_value();
         if (!replaced) {
-            (void)keys_.reserve(ask.key, ask.body, answer.granted.id);
+            (void)keys_.reserve(request.key, request.body, reply.granted.id);
         }
     }
-    return answer;
+    return reply;
 }
 
-bool budget_home::can_never_pay(const reservation_ask& ask, const budget_state& budget) const {
-    return budget.limit - budget.billed - budget.burnt < ask.bound;
+bool budget_allocator::exceeds_budget(const reservation_request& request,
+                                      const budget_state& budget) const {
+    return budget.limit - budget.billed - budget.burnt < request.bound;
 }
 
-reservation_answer budget_home::refusal_of(const reservation_ask& ask, budget_id budget) const {
+reservation_reply budget_allocator::make_refusal(const reservation_request& request,
+                                                 budget_id budget) const {
     const budget_state* state = ledger_.find(budget);
     if (state == nullptr) {
-        return refused(reservation_outcome::no_budget, microseconds(0));
+        return refusal(reservation_outcome::no_budget, microseconds(0));
     }
-    if (can_never_pay(ask, *state)) {
-        return refused(reservation_outcome::budget_exhausted, microseconds(0));
+    if (exceeds_budget(request, *state)) {
+        return refusal(reservation_outcome::budget_exhausted, microseconds(0));
     }
     if (!log_reachable_) {
-        return refused(reservation_outcome::budget_unreachable, unreachable_retry);
+        return refusal(reservation_outcome::budget_unreachable, unreachable_retry);
     }
-    return refused(reservation_outcome::budget_exhausted, exhausted_retry);
+    return refusal(reservation_outcome::budget_exhausted, exhausted_retry);
 }
 
-void budget_home::park(instant now, const reservation_ask& ask, budget_id budget, bool for_keys) {
-    parked_.push_back({ask, budget, now + ask.wait, for_keys});
-    if (!for_keys) {
-        account_of(budget).need += ask.bound;
+void budget_allocator::add_waiting_request(instant now, const reservation_request& request,
+                                           budget_id budget, bool needs_key_lock) {
+    waiting_requests_.push_back({request, budget, now + request.max_wait, needs_key_lock});
+    if (!needs_key_lock) {
+        account_of(budget).need += request.bound;
     }
 }
 
-/// Only the holder of the key grant decides about requests that may not be repeated.
-std::optional<reservation_answer> budget_home::answer_without_keys(instant now,
-                                                                   const reservation_ask& ask,
-                                                                   budget_id budget) {
-    const bool nobody = ledger_.key_holder() == incarnation_id{};
-    if (nobody && log_reachable_ && !draining_ && ask.wait > microseconds(0)) {
-        consult_keys();
-        park(now, ask, budget, true);
+/// Handles a non-repeatable request without the key lock: waits for the lock if nobody holds it,
+/// otherwise refers the sender to its holder.
+std::optional<reservation_reply> budget_allocator::reply_without_key_lock(
+    instant now, const reservation_request& request, budget_id budget) {
+    const bool key_lock_free = ledger_.key_holder() == incarnation_id{};
+    if (key_lock_free && log_reachable_ && !draining_ && request.max_wait > microseconds(0)) {
+        update_key_lock();
+        add_waiting_request(now, request, budget, true);
         return std::nullopt;
     }
-    reservation_answer answer = refused(reservation_outcome::keys_elsewhere, keys_retry);
-    answer.key_holder = ledger_.key_holder();
-    return answer;
+    reservation_reply reply = refusal(reservation_outcome::keys_elsewhere, key_lock_retry);
+    reply.key_holder = ledger_.key_holder();
+    return reply;
 }
 
-/// What the ledger and this home know of a key. A dead holder's keys are in the ledger: its grant
-/// went on only after every guard had listed what it had started.
-bool budget_home::may_have_run(const digest& key) const {
+/// True if the ledger or this allocator knows of a request with this key that may have run. The
+/// keys of a failed holder are in the ledger: its key lock passed on only after every guard had
+/// listed the charges that it had started.
+bool budget_allocator::may_have_run(const digest& key) const {
     if (unused_claims_.count(key) > 0) {
         return false;
     }
-    const key_facts facts = ledger_.keys().facts_of(key);
-    return facts.billed || facts.claimed_by != ticket_id{} || unwritten_claims_.count(key) > 0;
+    const request_key_state state = ledger_.history().key_state(key);
+    return state.billed || state.claimed_by != ticket_id{} || unwritten_claims_.count(key) > 0;
 }
 
-/// Asks for the key grant if nobody has it, or gives it back when draining.
-void budget_home::consult_keys() {
-    if (keys_under_way_) {
+/// Acquires the key lock if nobody holds it, or releases it when draining.
+void budget_allocator::update_key_lock() {
+    if (key_lock_pending_) {
         return;
     }
-    const bool nobody = ledger_.key_holder() == incarnation_id{};
-    if (!draining_ && nobody && !ledger_.budgets().empty()) {
-        keys_under_way_ = true;
+    const bool key_lock_free = ledger_.key_holder() == incarnation_id{};
+    if (!draining_ && key_lock_free && !ledger_.budgets().empty()) {
+        key_lock_pending_ = true;
         urgent_ = true;
-        pending_.emplace_back(hold_keys_operation{});
+        pending_.emplace_back(lock_keys_operation{});
         return;
     }
-    const bool all_written = tickets_.size() == 0 && parked_.empty() && unwritten_claims_.empty();
-    if (draining_ && holds_keys() && all_written) {
-        keys_under_way_ = true;
+    const bool all_written =
+        tickets_.size() == 0 && waiting_requests_.empty() && unwritten_claims_.empty();
+    if (draining_ && holds_key_lock() && all_written) {
+        key_lock_pending_ = true;
         urgent_ = true;
-        pending_.emplace_back(release_keys_operation{});
+        pending_.emplace_back(unlock_keys_operation{});
     }
 }
 
-/// Somebody has the key grant now, mostly this home.
-void budget_home::keys_answered(instant now) {
-    keys_under_way_ = false;
-    std::vector<parked_ask> waiting;
-    for (const parked_ask& item : parked_) {
-        if (item.for_keys) {
+/// Retries the requests that waited for the key lock, after an operation on it was applied.
+void budget_allocator::on_key_lock_changed(instant now) {
+    key_lock_pending_ = false;
+    std::vector<waiting_request> waiting;
+    for (const waiting_request& item : waiting_requests_) {
+        if (item.needs_key_lock) {
             waiting.push_back(item);
         }
     }
-    std::erase_if(parked_, [](const parked_ask& item) { return item.for_keys; });
-    for (const parked_ask& item : waiting) {
-        if (const auto answer = reserve(now, item.ask)) {
-            on_answer_(item.ask.request, *answer);
+    std::erase_if(waiting_requests_,
+                  [](const waiting_request& item) { return item.needs_key_lock; });
+    for (const waiting_request& item : waiting) {
+        if (const auto reply = reserve(now, item.request)) {
+            on_reply_(item.request.request_id, *reply);
         }
     }
 }
 
-void budget_home::note_refused_demand(instant now, const reservation_ask& ask, budget_id budget) {
+void budget_allocator::record_refused_demand(instant now, const reservation_request& request,
+                                             budget_id budget) {
     account& local = account_of(budget);
-    const double expected = local.cost_share * static_cast<double>(ask.bound);
-    note_demand(now, local, static_cast<tokens>(expected));
+    const double expected = local.cost_share * static_cast<double>(request.bound);
+    record_demand(now, local, static_cast<tokens>(expected));
 }
 
-void budget_home::note_demand(instant now, account& local, tokens amount) {
+void budget_allocator::record_demand(instant now, account& local, tokens amount) {
     local.recent_demand.add(now, amount);
     local.demand.add(now, amount);
 }
 
-void budget_home::answer_parked(std::size_t index, const reservation_answer& answer) {
-    const parked_ask done = parked_[index];
-    parked_.erase(parked_.begin() + static_cast<std::ptrdiff_t>(index));
-    if (!done.for_keys) {
-        account_of(done.budget).need -= done.ask.bound;
+void budget_allocator::answer_waiting_request(std::size_t index, const reservation_reply& reply) {
+    const waiting_request done = waiting_requests_[index];
+    waiting_requests_.erase(waiting_requests_.begin() + static_cast<std::ptrdiff_t>(index));
+    if (!done.needs_key_lock) {
+        account_of(done.budget).need -= done.request.bound;
     }
-    on_answer_(done.ask.request, answer);
+    on_reply_(done.request.request_id, reply);
 }
 
-void budget_home::serve_parked(instant now, budget_id budget) {
+void budget_allocator::grant_waiting_requests(instant now, budget_id budget) {
     std::size_t index = 0;
-    while (index < parked_.size()) {
-        const parked_ask& item = parked_[index];
-        const bool payable =
-            item.budget == budget && !item.for_keys && free_of(budget) >= item.ask.bound;
-        if (!payable) {
+    while (index < waiting_requests_.size()) {
+        const waiting_request& item = waiting_requests_[index];
+        const bool can_grant = item.budget == budget && !item.needs_key_lock &&
+                               free_tokens(budget) >= item.request.bound;
+        if (!can_grant) {
             ++index;
             continue;
         }
-        const reservation_answer answer = grant(now, item.ask, budget);
-        answer_parked(index, answer);
+        const reservation_reply reply = issue_ticket(now, item.request, budget);
+        answer_waiting_request(index, reply);
     }
 }
 
-result<void> budget_home::started(ticket_id id, incarnation_id guard, std::string guard_endpoint) {
+result<void> budget_allocator::ticket_started(ticket_id id, incarnation_id guard,
+                                              std::string guard_endpoint) {
     issued_ticket* issued = tickets_.find(id);
     if (issued == nullptr) {
-        return failed(error_code::not_found, "The ticket is not out.");
+        return failed(error_code::not_found, "The ticket is not outstanding.");
     }
     if (issued->started() && issued->guard != guard) {
-        return failed(error_code::conflict, "Another guard took this ticket.");
+        return failed(error_code::conflict, "Another guard started this ticket.");
     }
     if (issued->started()) {
         return outcome::success();
@@ -282,16 +296,16 @@
     if (keys_.find(issued->value.key) == nullptr) {
         return outcome::success();
     }
-    return keys_.start(issued->value.key, id, guard, std::move(guard_endpoint));
+    return keys_.mark_started(issued->value.key, id, guard, std::move(guard_endpoint));
 }
 
-result<void> budget_home::release(ticket_id id) {
+result<void> budget_allocator::release_ticket(ticket_id id) {
     const issued_ticket* known = tickets_.find(id);
     if (known == nullptr) {
-        return failed(error_code::not_found, "The ticket is not out.");
+        return failed(error_code::not_found, "The ticket is not outstanding.");
     }
     if (known->started()) {
-        return failed(error_code::conflict, "The ticket was used.");
+        return failed(error_code::conflict, "The ticket was started by a guard.");
     }
     const issued_ticket issued = *tickets_.take(id);
     account_of(issued.value.budget).reserved -= issued.value.bound;
@@ -301,17 +315,18 @@
     if (!issued.repeatable) {
         unused_claims_.insert(issued.value.key);
     }
-    resolve_exposure(id);
+    remove_exposure(id);
     return outcome::success();
 }
 
-void budget_home::charge_ended(instant now, const charge& ended) {
+void budget_allocator::charge_reported(instant now, const charge& ended) {
     if (unsettled_.count(ended.ticket) > 0) {
         return;
     }
     const std::optional<issued_ticket> issued = tickets_.take(ended.ticket);
     if (!issued) {
-        // It was charged before, or its holder was reclaimed. The fold tells these apart.
+        // The ticket was settled before, or its holder was reclaimed. The ledger distinguishes the
+        // two.
         enqueue_settlement(ended);
         return;
     }
@@ -319,131 +334,132 @@
     local.reserved -= issued->value.bound;
     local.unsettled += ended.amount;
     unsettled_[ended.ticket] = ended.amount;
-    note_demand(now, local, ended.amount);
+    record_demand(now, local, ended.amount);
     const double share = static_cast<double>(ended.amount) /
                          static_cast<double>(std::max<tokens>(issued->value.bound, 1));
     local.cost_share += cost_share_weight * (share - local.cost_share);
     if (keys_.find(issued->value.key) != nullptr) {
-        (void)keys_.end(issued->value.key, ended.ticket);
+        (void)keys_.mark_ended(issued->value.key, ended.ticket);
     }
     enqueue_settlement(ended);
-    resolve_exposure(ended.ticket);
+    remove_exposure(ended.ticket);
 }
 
-void budget_home::enqueue_settlement(const charge& settled) {
+void budget_allocator::enqueue_settlement(const charge& settled) {
     pending_.emplace_back(settle_operation{settled});
     ++settlements_queued_;
 }
 
-void budget_home::guard_fenced(incarnation_id guard) {
+void budget_allocator::guard_fenced(incarnation_id guard) {
     exposure exposed;
-    for (const ticket_id id : tickets_.exposed_to(guard)) {
+    for (const ticket_id id : tickets_.possibly_started_by(guard)) {
         issued_ticket& issued = *tickets_.find(id);
         if (!issued.started()) {
             issued.possibly_started = true;
             exposed.tickets.insert(id);
-            voided(id, guard);
+            ticket_voided(id, guard);
             continue;
         }
         settle_at_bound(issued);
         if (keys_.find(issued.value.key) != nullptr) {
-            (void)keys_.lose(issued.value.key, id);
+            (void)keys_.mark_lost(issued.value.key, id);
         }
         tickets_.take(id);
     }
-    exposed.settled_after = settlements_queued_;
+    exposed.required_settlements = settlements_queued_;
     exposures_[guard] = std::move(exposed);
 }
 
-void budget_home::settle_at_bound(const issued_ticket& issued) {
+void budget_allocator::settle_at_bound(const issued_ticket& issued) {
     account& local = account_of(issued.value.budget);
     local.reserved -= issued.value.bound;
     local.unsettled += issued.value.bound;
     unsettled_[issued.value.id] = issued.value.bound;
-    charge full;
-    full.budget = issued.value.budget;
-    full.holder = settings_.incarnation;
-    full.key = issued.value.key;
-    full.ticket = issued.value.id;
-    full.amount = issued.value.bound;
-    enqueue_settlement(full);
+    charge bound_charge;
+    bound_charge.budget = issued.value.budget;
+    bound_charge.holder = settings_.incarnation;
+    bound_charge.key = issued.value.key;
+    bound_charge.ticket = issued.value.id;
+    bound_charge.amount = issued.value.bound;
+    enqueue_settlement(bound_charge);
 }
 
-void budget_home::resolve_exposure(ticket_id id) {
+void budget_allocator::remove_exposure(ticket_id id) {
     for (auto& [guard, exposed] : exposures_) {
         if (exposed.tickets.erase(id) > 0) {
-            exposed.settled_after = settlements_queued_;
+            exposed.required_settlements = settlements_queued_;
         }
     }
 }
 
-std::vector<ticket_id> budget_home::take_unclear(instant now,
-                                                 std::span<const incarnation_id> guards) {
-    std::vector<ticket_id> unclear = tickets_.unclear_before(now - settings_.ticket_doubt_after);
-    for (const ticket_id id : unclear) {
+std::vector<ticket_id> budget_allocator::take_unconfirmed(instant now,
+                                                          std::span<const incarnation_id> guards) {
+    std::vector<ticket_id> unconfirmed =
+        tickets_.unconfirmed_before(now - settings_.confirmation_timeout);
+    for (const ticket_id id : unconfirmed) {
         issued_ticket& issued = *tickets_.find(id);
-        issued.void_asked = true;
-        issued.void_awaited.insert(guards.begin(), guards.end());
+        issued.void_requested = true;
+        issued.pending_voids.insert(guards.begin(), guards.end());
     }
-    return unclear;
+    return unconfirmed;
 }
 
-void budget_home::voided(ticket_id id, incarnation_id guard) {
+void budget_allocator::ticket_voided(ticket_id id, incarnation_id guard) {
     issued_ticket* issued = tickets_.find(id);
-    if (issued == nullptr || issued->started() || !issued->void_asked) {
+    if (issued == nullptr || issued->started() || !issued->void_requested) {
         return;
     }
-    issued->void_awaited.erase(guard);
-    if (!issued->void_awaited.empty()) {
+    issued->pending_voids.erase(guard);
+    if (!issued->pending_voids.empty()) {
         return;
     }
     if (!issued->possibly_started) {
-        (void)release(id);
+        (void)release_ticket(id);
         return;
     }
     settle_at_bound(*issued);
     if (keys_.find(issued->value.key) != nullptr) {
-        (void)keys_.lose(issued->value.key, id);
+        (void)keys_.mark_lost(issued->value.key, id);
     }
     tickets_.take(id);
-    resolve_exposure(id);
+    remove_exposure(id);
 }
 
-void budget_home::observe_settlement(instant now, budget_id budget, tokens amount) {
-    account_of(budget).demand_of_all.add(now, amount);
+void budget_allocator::observe_settlement(instant now, budget_id budget, tokens amount) {
+    account_of(budget).total_demand.add(now, amount);
 }
 
-void budget_home::ledger_changed(instant now) {
-    if (parked_.empty()) {
+void budget_allocator::ledger_changed(instant now) {
+    if (waiting_requests_.empty()) {
         return;
     }
-    std::set<budget_id> awaited;
-    for (const parked_ask& item : parked_) {
-        awaited.insert(item.budget);
+    std::set<budget_id> waiting_budgets;
+    for (const waiting_request& item : waiting_requests_) {
+        waiting_budgets.insert(item.budget);
     }
-    for (const budget_id budget : awaited) {
-        serve_parked(now, budget);
+    for (const budget_id budget : waiting_budgets) {
+        grant_waiting_requests(now, budget);
     }
 }
 
-void budget_home::tick(instant now) {
+void budget_allocator::tick(instant now) {
     std::size_t index = 0;
-    while (index < parked_.size()) {
-        if (parked_[index].until > now) {
+    while (index < waiting_requests_.size()) {
+        if (waiting_requests_[index].deadline > now) {
             ++index;
             continue;
         }
-        const parked_ask late = parked_[index];
-        note_refused_demand(now, late.ask, late.budget);
-        answer_parked(index, refusal_of(late.ask, late.budget));
+        const waiting_request expired = waiting_requests_[index];
+        record_refused_demand(now, expired.request, expired.budget);
+        answer_waiting_request(index, make_refusal(expired.request, expired.budget));
     }
     for (const auto& [budget, state] : ledger_.budgets()) {
-        consult_policy(now, budget);
+        apply_policy(now, budget);
     }
-    consult_keys();
+    update_key_lock();
 }
 
-void budget_home::consult_policy(instant now, budget_id budget) {
+void budget_allocator::apply_policy(instant now, budget_id budget) {
     const budget_state* state = ledger_.find(budget);
     if (state == nullptr) {
         return;
@@ -452,71 +468,71 @@
     if (local.drawing || local.returning > 0) {
         return;
     }
-    const grant_view view = view_of(now, *state, local);
+    const grant_policy_input input = policy_input(now, *state, local);
     if (draining_) {
-        if (view.free > 0) {
-            local.returning = view.free;
-            pending_.emplace_back(return_operation{budget, view.free});
+        if (input.free > 0) {
+            local.returning = input.free;
+            pending_.emplace_back(return_operation{budget, input.free});
             urgent_ = true;
         }
         return;
     }
-    const grant_decision decision = settings_.policy(view);
+    const grant_decision decision = settings_.policy(input);
     const auto waiting = std::find_if(
         state->waiting.begin(), state->waiting.end(),
         [this](const waiting_need& item) { return item.holder == settings_.incarnation; });
     const tokens need_in_ledger = waiting == state->waiting.end() ? 0 : waiting->need;
-    const tokens need = std::max<tokens>(view.need - std::max<tokens>(view.free, 0), 0);
-    // A draw that can bring nothing is worth an append only if it tells others of a changed need.
-    const tokens brings = std::min(std::max<tokens>(view.available, 0), decision.draw);
-    const bool can_bring = brings >= view.largest_bound || (brings > 0 && need > 0);
+    const tokens need = std::max<tokens>(input.need - std::max<tokens>(input.free, 0), 0);
+    // A draw that cannot be granted is appended only to publish a changed need.
+    const tokens grantable = std::min(std::max<tokens>(input.available, 0), decision.draw);
+    const bool draw_is_useful = grantable >= input.largest_bound || (grantable > 0 && need > 0);
     const bool need_changed = need != need_in_ledger;
-    if (can_bring || need_changed) {
+    if (draw_is_useful || need_changed) {
         const tokens amount = std::max(decision.draw, need);
         local.drawing = true;
         pending_.emplace_back(draw_operation{budget, amount, need});
         urgent_ = urgent_ || need > 0;
         return;
     }
-    if (decision.give_back > 0 && view.free >= decision.give_back) {
-        local.returning = decision.give_back;
-        pending_.emplace_back(return_operation{budget, decision.give_back});
-        urgent_ = urgent_ || view.first_need_elsewhere > 0;
+    if (decision.return_amount > 0 && input.free >= decision.return_amount) {
+        local.returning = decision.return_amount;
+        pending_.emplace_back(return_operation{budget, decision.return_amount});
+        urgent_ = urgent_ || input.first_remote_need > 0;
     }
 }
 
-grant_view budget_home::view_of(instant now, const budget_state& state,
-                                const account& local) const {
-    grant_view view;
-    view.limit = state.limit;
-    view.available = state.available();
-    view.held = state.outstanding_of(settings_.incarnation);
-    view.free = view.held - local.reserved - local.unsettled - local.returning;
+grant_policy_input budget_allocator::policy_input(instant now, const budget_state& state,
+                                                  const account& local) const {
+    grant_policy_input input;
+    input.limit = state.limit;
+    input.available = state.available();
+    input.held = state.outstanding_of(settings_.incarnation);
+    input.free = input.held - local.reserved - local.unsettled - local.returning;
     for (const holding& item : state.holdings) {
-        view.held_by_all += item.outstanding;
+        input.total_held += item.outstanding;
     }
-    view.need = local.need;
-    const bool other_first =
+    input.need = local.need;
+    const bool is_remote_first =
         !state.waiting.empty() && state.waiting.front().holder != settings_.incarnation;
-    if (other_first) {
-        view.first_need_elsewhere = state.waiting.front().need;
+    if (is_remote_first) {
+        input.first_remote_need = state.waiting.front().need;
     }
-    view.recent_demand = local.recent_demand.rate(now);
-    view.demand = local.demand.rate(now);
-    view.demand_memory = settings_.demand_memory;
-    view.demand_of_all = local.demand_of_all.rate(now);
-    view.largest_bound = std::max(local.largest_bound, settings_.assumed_bound);
-    view.homes = settings_.homes;
-    view.drawn = view.held + local.spent;
-    return view;
+    input.recent_demand = local.recent_demand.rate(now);
+    input.demand = local.demand.rate(now);
+    input.demand_time_constant = settings_.demand_time_constant;
+    input.total_demand = local.total_demand.rate(now);
+    input.largest_bound = std::max(local.largest_bound, settings_.default_bound);
+    input.allocator_count = settings_.allocator_count;
+    input.total_drawn = input.held + local.spent;
+    return input;
 }
 
-std::vector<ledger_operation> budget_home::take_batch() {
-    if (batch_under_way_ || pending_.empty()) {
+std::vector<ledger_operation> budget_allocator::take_batch() {
+    if (batch_pending_ || pending_.empty()) {
         return {};
     }
-    batch_under_way_ = true;
-    const std::size_t count = std::min(pending_.size(), most_operations_a_batch);
+    batch_pending_ = true;
+    const std::size_t count = std::min(pending_.size(), max_batch_operations);
     const auto end = pending_.begin() + static_cast<std::ptrdiff_t>(count);
     std::vector<ledger_operation> batch(std::make_move_iterator(pending_.begin()),
                                         std::make_move_iterator(end));
@@ -525,9 +541,9 @@
     return batch;
 }
 
-std::vector<ticket_id> budget_home::batch_applied(instant now,
-                                                  std::span<const ledger_operation> batch) {
-    batch_under_way_ = false;
+std::vector<ticket_id> budget_allocator::batch_applied(instant now,
+                                                       std::span<const ledger_operation> batch) {
+    batch_pending_ = false;
     std::vector<ticket_id> settled;
     for (std::size_t index = 0; index < batch.size(); ++index) {
         if (const auto* settle = std::get_if<settle_operation>(&batch[index])) {
@@ -537,32 +553,32 @@
         } else if (const auto* draw = std::get_if<draw_operation>(&batch[index])) {
             account& local = account_of(draw->budget);
             local.drawing = false;
-            serve_parked(now, draw->budget);
-        } else if (const auto* back = std::get_if<return_operation>(&batch[index])) {
-            account& local = account_of(back->budget);
+            grant_waiting_requests(now, draw->budget);
+        } else if (const auto* returned = std::get_if<return_operation>(&batch[index])) {
+            account& local = account_of(returned->budget);
             local.returning = 0;
         } else if (const auto* claim = std::get_if<claim_key_operation>(&batch[index])) {
             unwritten_claims_.erase(claim->key);
-        } else if (std::holds_alternative<hold_keys_operation>(batch[index]) ||
-                   std::holds_alternative<release_keys_operation>(batch[index])) {
-            keys_answered(now);
+        } else if (std::holds_alternative<lock_keys_operation>(batch[index]) ||
+                   std::holds_alternative<unlock_keys_operation>(batch[index])) {
+            on_key_lock_changed(now);
         }
     }
     return settled;
 }
 
-void budget_home::settlement_applied(const charge& settled) {
-    const auto counted = unsettled_.find(settled.ticket);
-    if (counted == unsettled_.end()) {
+void budget_allocator::settlement_applied(const charge& settled) {
+    const auto unsettled = unsettled_.find(settled.ticket);
+    if (unsettled == unsettled_.end()) {
         return;
     }
     account& local = account_of(settled.budget);
-    local.unsettled -= counted->second;
-    local.spent += counted->second;
-    unsettled_.erase(counted);
+    local.unsettled -= unsettled->second;
+    local.spent += unsettled->second;
+    unsettled_.erase(unsettled);
 }
 
-void budget_home::enqueue(ledger_operation operation) {
+void budget_allocator::enqueue(ledger_operation operation) {
     if (std::holds_alternative<settle_operation>(operation)) {
         ++settlements_queued_;
     } else {
@@ -571,19 +587,20 @@
     pending_.push_back(std::move(operation));
 }
 
-bool budget_home::idle() const {
-    return tickets_.size() == 0 && parked_.empty() && pending_.empty() && !batch_under_way_;
+bool budget_allocator::idle() const {
+    return tickets_.size() == 0 && waiting_requests_.empty() && pending_.empty() && !batch_pending_;
 }
 
-bool budget_home::cleared_of(incarnation_id guard) const {
+bool budget_allocator::is_guard_settled(incarnation_id guard) const {
     const auto found = exposures_.find(guard);
     if (found == exposures_.end()) {
         return true;
     }
-    return found->second.tickets.empty() && settlements_applied_ >= found->second.settled_after;
+    return found->second.tickets.empty() &&
+           settlements_applied_ >= found->second.required_settlements;
 }
 
-tokens budget_home::free_of(budget_id budget) const {
+tokens budget_allocator::free_tokens(budget_id budget) const {
     const budget_state* state = ledger_.find(budget);
     if (state == nullptr) {
         return 0;
@@ -596,13 +613,13 @@
     return held - local->second.reserved - local->second.unsettled - local->second.returning;
 }
 
-budget_home::account& budget_home::account_of(budget_id budget) {
+budget_allocator::account& budget_allocator::account_of(budget_id budget) {
     const auto found = accounts_.find(budget);
     if (found != accounts_.end()) {
         return found->second;
     }
-    const demand_estimator recent(settings_.recent_memory);
-    const demand_estimator fresh(settings_.demand_memory);
+    const demand_estimator recent(settings_.burst_time_constant);
+    const demand_estimator fresh(settings_.demand_time_constant);
     account local{0, 0, 0, 0, 0, 0, false, 1.0, recent, fresh, fresh};
     return accounts_.emplace(budget, local).first->second;
 }
--- a/src/decision/home/demand_estimator.cpp
+++ b/src/decision/home/demand_estimator.cpp
@@ -6,34 +6,36 @@
 namespace wrenswitch {
 namespace {
 
-/// A rate from less than this is mostly chance, so the window counts as at least as long.
-constexpr microseconds least_window = seconds(5);
+/// The minimum observation time assumed: a rate measured over less is mostly noise.
+constexpr microseconds min_window = seconds(5);
 
 }  // namespace
 
 void demand_estimator::add(instant now, tokens amount) {
     if (!started_) {
         started_ = true;
-        first_ = now;
-        last_ = now;
+        first_time_ = now;
+        last_time_ = now;
     }
-    weight_ = decayed(now) + static_cast<double>(amount);
-    last_ = std::max(last_, now);
+    sum_at_last_time_ = decayed_sum(now) + static_cast<double>(amount);
+    last_time_ = std::max(last_time_, now);
 }
 
 double demand_estimator::rate(instant now) const {
     if (!started_) {
         return 0.0;
     }
-    // Before a whole memory has passed, the weights sum to less than the time constant.
-    const microseconds seen = std::max(now - first_, least_window);
-    const double filled = 1.0 - std::exp(-as_seconds(seen) / as_seconds(memory_));
-    return decayed(now) / (as_seconds(memory_) * filled);
+    // Until the time constant has passed several times, the weights sum to less than the time
+    // constant; the factor corrects for that.
+    const microseconds observed = std::max(now - first_time_, min_window);
+    const double accumulated_weight =
+        1.0 - std::exp(-as_seconds(observed) / as_seconds(time_constant_));
+    return decayed_sum(now) / (as_seconds(time_constant_) * accumulated_weight);
 }
 
-double demand_estimator::decayed(instant now) const {
-    const microseconds passed = std::max(now - last_, microseconds(0));
-    return weight_ * std::exp(-as_seconds(passed) / as_seconds(memory_));
+double demand_estimator::decayed_sum(instant now) const {
+    const microseconds elapsed = std::max(now - last_time_, microseconds(0));
+    return sum_at_last_time_ * std::exp(-as_seconds(elapsed) / as_seconds(time_constant_));
 }
 
 }  // namespace wrenswitch
--- a/src/decision/home/grant_policy.cpp
+++ b/src/decision/home/grant_policy.cpp
@@ -6,113 +6,119 @@
 namespace wrenswitch {
 namespace {
 
-/// A home redraws when less than this share of its target is free, so that it does not append for
-/// every request.
-constexpr double redraw_below = 0.7;
+/// An allocator draws when less than this share of its target is free, so that it does not append a
+/// record for every request.
+constexpr double redraw_threshold = 0.7;
 
-/// A home gives back what exceeds this multiple of its target. The gap to redraw_below keeps homes
-/// from handing the same tokens to and fro.
-constexpr double give_back_above = 1.3;
+/// An allocator returns tokens above this multiple of its target. The hysteresis against
+/// redraw_threshold prevents allocators from passing the same tokens back and forth.
+constexpr double return_threshold = 1.3;
 
-/// How many of the largest requests the assumption of equal parts weighs as much as.
-constexpr double prior_requests = 4.0;
+/// The weight of the prior assumption of equal demand, in requests of the largest bound.
+constexpr double prior_weight = 4.0;
 
-/// For so long demand that is above the usual is expected to last.
-constexpr double longest_burst_s = 600.0;
+/// The assumed maximum duration of a burst.
+constexpr double max_burst_s = 600.0;
 
-/// At least this many of the largest reservations are worth holding, where so much is left.
-constexpr tokens least_reservations = 4;
+/// The minimum target, in reservations of the largest bound, if enough tokens are left.
+constexpr tokens min_reservations = 4;
 
 tokens rounded(double amount) {
     return static_cast<tokens>(std::llround(amount));
 }
 
-/// What is free anywhere: in the ledger or with homes.
-tokens left_of(const grant_view& view) {
-    return std::max<tokens>(view.available + view.held_by_all, 0);
+/// The unspent tokens, in the ledger and at all allocators.
+tokens unspent_tokens(const grant_policy_input& input) {
+    return std::max<tokens>(input.available + input.total_held, 0);
 }
 
-/// Draws towards a target of free tokens, or gives back what is far above it.
-grant_decision steer(const grant_view& view, tokens target) {
+/// Draws if the free tokens are well below the target, or returns the excess if they are well above
+/// it.
+grant_decision decide_for_target(const grant_policy_input& input, tokens target) {
     grant_decision decision;
-    if (view.first_need_elsewhere > 0) {
-        // The ledger has nothing left and a request waits at another home, before any that waits
-        // here. It gets all that is free: two homes that each kept their part of a last request's
-        // tokens would both refuse.
-        decision.give_back = std::clamp<tokens>(view.free, 0, view.first_need_elsewhere);
+    if (input.first_remote_need > 0) {
+        // The ledger is exhausted and a request waits at another allocator, ahead of any here. It
+        // gets all free tokens: if two allocators each kept a part of the tokens for the last
+        // request, both would refuse it.
+        decision.return_amount = std::clamp<tokens>(input.free, 0, input.first_remote_need);
         return decision;
     }
-    const tokens wanted = std::max(target, view.need);
-    const bool short_of_target =
-        static_cast<double>(view.free) < redraw_below * static_cast<double>(wanted);
-    if (short_of_target || view.free < view.need) {
-        decision.draw = std::max(wanted - view.free, tokens{0});
+    const tokens wanted = std::max(target, input.need);
+    const bool is_below_target =
+        static_cast<double>(input.free) < redraw_threshold * static_cast<double>(wanted);
+    if (is_below_target || input.free < input.need) {
+        decision.draw = std::max(wanted - input.free, tokens{0});
         return decision;
     }
-    const tokens keep = std::max<tokens>(wanted, view.largest_bound);
-    const tokens spare = std::max<tokens>(view.free - keep, 0);
-    const bool far_above =
-        static_cast<double>(view.free) > give_back_above * static_cast<double>(keep);
-    if (far_above && spare > view.largest_bound) {
-        decision.give_back = spare;
+    const tokens keep = std::max<tokens>(wanted, input.largest_bound);
+    const tokens excess = std::max<tokens>(input.free - keep, 0);
+    const bool is_excessive =
+        static_cast<double>(input.free) > return_threshold * static_cast<double>(keep);
+    if (is_excessive && excess > input.largest_bound) {
+        decision.return_amount = excess;
     }
     return decision;
 }
 
-/// The part of all demand that this home has. With little seen so far it is drawn towards an equal
-/// part, so that chance in the first requests does not decide.
-double share_of(const grant_view& view) {
-    const double homes = std::max(1U, view.homes);
-    const double all = std::max(view.demand_of_all, view.demand);
-    const double memory = std::max(as_seconds(view.demand_memory), 1.0);
-    const double prior = prior_requests * static_cast<double>(view.largest_bound) / memory;
-    return (view.demand + prior / homes) / (all + prior);
+/// This allocator's share of the total demand. A prior of equal shares dominates while there are
+/// few observations, so that random variation in the first requests has little effect.
+double demand_fraction(const grant_policy_input& input) {
+    const double allocator_count = std::max(1U, input.allocator_count);
+    const double total = std::max(input.total_demand, input.demand);
+    const double time_constant = std::max(as_seconds(input.demand_time_constant), 1.0);
+    const double prior = prior_weight * static_cast<double>(input.largest_bound) / time_constant;
+    return (input.demand + prior / allocator_count) / (total + prior);
 }
 
-/// What the demand here is expected to be, over so long a time.
-double expected_demand(const grant_view& view, microseconds horizon) {
-    const double ahead = view.demand * as_seconds(horizon);
-    const double burst = view.recent_demand * std::min(as_seconds(horizon), longest_burst_s);
-    return std::max(ahead, burst);
+/// The expected demand here over the horizon, in tokens.
+double expected_demand(const grant_policy_input& input, microseconds horizon) {
+    const double expected = input.demand * as_seconds(horizon);
+    const double burst = input.recent_demand * std::min(as_seconds(horizon), max_burst_s);
+    return std::max(expected, burst);
 }
 
 }  // namespace
 
 grant_policy even_split_policy() {
-    return [](const grant_view& view) {
+    return [](const grant_policy_input& input) {
         grant_decision decision;
-        const tokens part = view.limit / std::max(1U, view.homes);
-        decision.draw = std::max<tokens>(part - view.drawn, 0);
+        const tokens limit_part = input.limit / std::max(1U, input.allocator_count);
+        decision.draw = std::max<tokens>(limit_part - input.total_drawn, 0);
         return decision;
     };
 }
 
 grant_policy demand_share_policy(grant_policy_settings settings) {
-    return [settings](const grant_view& view) {
-        const tokens ahead = rounded(expected_demand(view, settings.working_horizon));
-        return steer(view, std::max(ahead, least_reservations * view.largest_bound));
+    return [settings](const grant_policy_input& input) {
+        const tokens expected = rounded(expected_demand(input, settings.working_horizon));
+        return decide_for_target(input, std::max(expected, min_reservations * input.largest_bound));
     };
 }
 
 grant_policy capped_reserve_policy(grant_policy_settings settings) {
-    return [settings](const grant_view& view) {
-        const double ahead = expected_demand(view, settings.cut_off_horizon);
-        const double part =
-            settings.reserve_share * static_cast<double>(left_of(view)) / std::max(1U, view.homes);
-        const tokens working = rounded(expected_demand(view, settings.working_horizon));
-        const tokens floor =
-            std::min(std::max(working, least_reservations * view.largest_bound), rounded(part));
-        return steer(view, std::max(floor, rounded(std::min(ahead, part))));
+    return [settings](const grant_policy_input& input) {
+        const double expected = expected_demand(input, settings.outage_horizon);
+        const double reserve_part = settings.reserve_share *
+                                    static_cast<double>(unspent_tokens(input)) /
+                                    std::max(1U, input.allocator_count);
+        const tokens working = rounded(expected_demand(input, settings.working_horizon));
+        const tokens min_target = std::min(
+            std::max(working, min_reservations * input.largest_bound), rounded(reserve_part));
+        return decide_for_target(input,
+                                 std::max(min_target, rounded(std::min(expected, reserve_part))));
     };
 }
 
 grant_policy shared_reserve_policy(grant_policy_settings settings) {
-    return [settings](const grant_view& view) {
-        const double ahead = expected_demand(view, settings.cut_off_horizon);
-        const double part =
-            settings.reserve_share * static_cast<double>(left_of(view)) * share_of(view);
-        const tokens floor = std::min(least_reservations * view.largest_bound, rounded(part));
-        return steer(view, std::max(floor, rounded(std::min(ahead, part))));
+    return [settings](const grant_policy_input& input) {
+        const double expected = expected_demand(input, settings.outage_horizon);
+        const double reserve_part = settings.reserve_share *
+                                    static_cast<double>(unspent_tokens(input)) *
+                                    demand_fraction(input);
+        const tokens min_target =
+            std::min(min_reservations * input.largest_bound, rounded(reserve_part));
+        return decide_for_target(input,
+                                 std::max(min_target, rounded(std::min(expected, reserve_part))));
     };
 }
 
--- a/src/decision/home/request_keys.cpp
+++ b/src/decision/home/request_keys.cpp
@@ -9,30 +9,30 @@
     return names.at(static_cast<std::size_t>(phase));
 }
 
-const request_entry* request_keys::find(const digest& key) const {
+const request_key_entry* request_key_table::find(const digest& key) const {
     const auto found = entries_.find(key);
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-result<void> request_keys::reserve(const digest& key, const digest& body, ticket_id ticket) {
+result<void> request_key_table::reserve(const digest& key, const digest& body, ticket_id ticket) {
     const auto known = entries_.find(key);
-    const bool busy = known != entries_.end() && known->second.phase != request_phase::ended &&
-                      known->second.phase != request_phase::lost;
-    if (busy) {
+    const bool in_use = known != entries_.end() && known->second.phase != request_phase::ended &&
+                        known->second.phase != request_phase::lost;
+    if (in_use) {
         return failed(error_code::conflict, "The request key is in use: phase " +
                                                 std::string(name_of(known->second.phase)) + ".");
     }
-    make_room();
-    entries_[key] = request_entry{body, request_phase::reserved, ticket, {}, {}};
+    evict_ended();
+    entries_[key] = request_key_entry{body, request_phase::reserved, ticket, {}, {}};
     return outcome::success();
 }
 
-result<void> request_keys::replace(const digest& key, ticket_id lost, ticket_id ticket) {
-    const result<request_entry*> expected = expect(key, lost);
-    if (!expected) {
-        return expected.error();
+result<void> request_key_table::replace(const digest& key, ticket_id replaced, ticket_id ticket) {
+    const result<request_key_entry*> found_entry = find_with_ticket(key, replaced);
+    if (!found_entry) {
+        return found_entry.error();
     }
-    request_entry& entry = *expected.value();
+    request_key_entry& entry = *found_entry.value();
     entry.phase = request_phase::reserved;
     entry.ticket = ticket;
     entry.guard_endpoint.clear();
@@ -40,16 +40,16 @@
     return outcome::success();
 }
 
-result<void> request_keys::start(const digest& key, ticket_id ticket, incarnation_id guard,
-                                 std::string guard_endpoint) {
-    const result<request_entry*> expected = expect(key, ticket);
-    if (!expected) {
-        return expected.error();
+result<void> request_key_table::mark_started(const digest& key, ticket_id ticket,
+                                             incarnation_id guard, std::string guard_endpoint) {
+    const result<request_key_entry*> found_entry = find_with_ticket(key, ticket);
+    if (!found_entry) {
+        return found_entry.error();
     }
-    request_entry& entry = *expected.value();
-    const bool in_order =
+    request_key_entry& entry = *found_entry.value();
+    const bool may_start =
         entry.phase == request_phase::reserved || entry.phase == request_phase::ended;
-    if (!in_order) {
+    if (!may_start) {
         return failed(error_code::conflict,
                       "A request cannot start in phase " + std::string(name_of(entry.phase)) + ".");
     }
@@ -61,12 +61,12 @@
     return outcome::success();
 }
 
-result<void> request_keys::end(const digest& key, ticket_id ticket) {
-    const result<request_entry*> expected = expect(key, ticket);
-    if (!expected) {
-        return expected.error();
+result<void> request_key_table::mark_ended(const digest& key, ticket_id ticket) {
+    const result<request_key_entry*> found_entry = find_with_ticket(key, ticket);
+    if (!found_entry) {
+        return found_entry.error();
     }
-    request_entry& entry = *expected.value();
+    request_key_entry& entry = *found_entry.value();
     if (entry.phase == request_phase::ended) {
         return outcome::success();
     }
@@ -75,42 +75,43 @@
     return outcome::success();
 }
 
-result<void> request_keys::lose(const digest& key, ticket_id ticket) {
-    const result<request_entry*> expected = expect(key, ticket);
-    if (!expected) {
-        return expected.error();
+result<void> request_key_table::mark_lost(const digest& key, ticket_id ticket) {
+    const result<request_key_entry*> found_entry = find_with_ticket(key, ticket);
+    if (!found_entry) {
+        return found_entry.error();
     }
-    expected.value()->phase = request_phase::lost;
+    found_entry.value()->phase = request_phase::lost;
     ended_order_.push_back(key);
     return outcome::success();
 }
 
-result<void> request_keys::release(const digest& key, ticket_id ticket) {
-    const result<request_entry*> expected = expect(key, ticket);
-    if (!expected) {
-        return expected.error();
+result<void> request_key_table::release(const digest& key, ticket_id ticket) {
+    const result<request_key_entry*> found_entry = find_with_ticket(key, ticket);
+    if (!found_entry) {
+        return found_entry.error();
     }
-    if (expected.value()->phase != request_phase::reserved) {
+    if (found_entry.value()->phase != request_phase::reserved) {
         return failed(error_code::conflict,
                       "Only a reserved request can be released, not one in phase " +
-                          std::string(name_of(expected.value()->phase)) + ".");
+                          std::string(name_of(found_entry.value()->phase)) + ".");
     }
     entries_.erase(key);
     return outcome::success();
 }
 
-result<request_entry*> request_keys::expect(const digest& key, ticket_id ticket) {
+result<request_key_entry*> request_key_table::find_with_ticket(const digest& key,
+                                                               ticket_id ticket) {
     const auto found = entries_.find(key);
     if (found == entries_.end()) {
-        return failed(error_code::not_found, "The request key is not known here.");
+        return failed(error_code::not_found, "The request key is unknown.");
     }
     if (found->second.ticket != ticket) {
-        return failed(error_code::conflict, "Another ticket stands for this request key.");
+        return failed(error_code::conflict, "The request key has another ticket.");
     }
     return &found->second;
 }
 
-void request_keys::make_room() {
+void request_key_table::evict_ended() {
     while (!ended_order_.empty() &&
            (entries_.size() >= capacity_ || ended_order_.size() > capacity_)) {
         const auto oldest = entries_.find(ended_order_.front());
--- a/src/decision/home/ticket_table.cpp
+++ b/src/decision/home/ticket_table.cpp
@@ -22,24 +22,24 @@
     return std::move(node.mapped());
 }
 
-std::vector<ticket_id> ticket_table::unclear_before(instant time) const {
-    std::vector<ticket_id> unclear;
+std::vector<ticket_id> ticket_table::unconfirmed_before(instant time) const {
+    std::vector<ticket_id> unconfirmed;
     for (const auto& [id, issued] : tickets_) {
-        if (!issued.started() && !issued.void_asked && issued.issued_at < time) {
-            unclear.push_back(id);
+        if (!issued.started() && !issued.void_requested && issued.issued_at < time) {
+            unconfirmed.push_back(id);
         }
     }
-    return unclear;
+    return unconfirmed;
 }
 
-std::vector<ticket_id> ticket_table::exposed_to(incarnation_id guard) const {
-    std::vector<ticket_id> exposed;
+std::vector<ticket_id> ticket_table::possibly_started_by(incarnation_id guard) const {
+    std::vector<ticket_id> possibly_started;
     for (const auto& [id, issued] : tickets_) {
         if (!issued.started() || issued.guard == guard) {
-            exposed.push_back(id);
+            possibly_started.push_back(id);
         }
     }
-    return exposed;
+    return possibly_started;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/language/command_checker.cpp
+++ b/src/decision/language/command_checker.cpp
@@ -10,36 +10,36 @@
 namespace wrenswitch {
 namespace {
 
-constexpr std::size_t sha256_letters = 64;
+constexpr std::size_t sha256_hex_length = 64;
 
-/// What an attribute's value must be.
+/// The type of an attribute's value.
 enum class value_kind { text, sha256, number, boolean, model_or_plain };
 
-/// An attribute of a noun.
+/// An attribute of a noun and its permitted values.
 struct attribute_rule {
     std::string_view noun;
     std::string_view name;
     value_kind kind;
-    std::int64_t least = 0;
-    std::int64_t most = 0;
+    std::int64_t min = 0;
+    std::int64_t max = 0;
 };
 
-constexpr std::int64_t least_urgent = 7;
-constexpr std::int64_t most_concurrency = 100'000;
+constexpr std::int64_t lowest_priority = 7;
+constexpr std::int64_t max_concurrency = 100'000;
 
 constexpr std::array<attribute_rule, 9> attribute_rules{{
     {"client_account", "key", value_kind::text},
     {"client_account", "key_sha256", value_kind::sha256},
     {"client_account", "budget", value_kind::text},
-    {"client_account", "priority", value_kind::number, 0, least_urgent},
+    {"client_account", "priority", value_kind::number, 0, lowest_priority},
     {"budget", "limit", value_kind::number, 1, max_budget_limit},
     {"service", "kind", value_kind::model_or_plain},
     {"service", "tokens_per_call", value_kind::number, 0, max_budget_limit},
     {"service", "repeatable", value_kind::boolean},
-    {"service", "concurrency", value_kind::number, 0, most_concurrency},
+    {"service", "concurrency", value_kind::number, 0, max_concurrency},
 }};
 
-std::optional<std::int64_t> to_number(const std::string& text) {
+std::optional<std::int64_t> parse_integer(const std::string& text) {
     std::int64_t value = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (problem != std::errc{} || end != text.data() + text.size()) {
@@ -48,15 +48,15 @@
     return value;
 }
 
-std::string allowed_by(const attribute_rule& rule) {
+std::string expected_value(const attribute_rule& rule) {
     switch (rule.kind) {
         case value_kind::text:
-            return "a text that is not empty";
+            return "a non-empty string";
         case value_kind::sha256:
-            return "a SHA-256 in 64 hexadecimal digits";
+            return "a SHA-256 in 64 lower-case hexadecimal digits";
         case value_kind::number:
-            return "a whole number from " + std::to_string(rule.least) + " to " +
-                   std::to_string(rule.most);
+            return "a whole number from " + std::to_string(rule.min) + " to " +
+                   std::to_string(rule.max);
         case value_kind::boolean:
             return "true or false";
         case value_kind::model_or_plain:
@@ -65,16 +65,16 @@
     return {};
 }
 
-bool fits(const attribute_rule& rule, const std::string& value) {
+bool is_valid_value(const attribute_rule& rule, const std::string& value) {
     switch (rule.kind) {
         case value_kind::text:
             return !value.empty();
         case value_kind::sha256:
-            return value.size() == sha256_letters &&
+            return value.size() == sha256_hex_length &&
                    value.find_first_not_of("0123456789abcdef") == std::string::npos;
         case value_kind::number: {
-            const auto number = to_number(value);
-            return number && *number >= rule.least && *number <= rule.most;
+            const auto number = parse_integer(value);
+            return number && *number >= rule.min && *number <= rule.max;
         }
         case value_kind::boolean:
             return value == "true" || value == "false";
@@ -84,7 +84,7 @@
     return false;
 }
 
-std::string attributes_of(std::string_view noun) {
+std::string list_attributes(std::string_view noun) {
     std::string list = "one of";
     for (const attribute_rule& rule : attribute_rules) {
         if (rule.noun == noun) {
@@ -102,21 +102,21 @@
             });
         const std::string place = statement.place + ", " + item.name;
         if (rule == attribute_rules.end()) {
-            problems.add(place, "an unknown attribute", attributes_of(statement.noun));
-        } else if (!fits(*rule, item.value)) {
-            problems.add(place, "\"" + item.value + "\"", allowed_by(*rule));
+            problems.add(place, "an unknown attribute", list_attributes(statement.noun));
+        } else if (!is_valid_value(*rule, item.value)) {
+            problems.add(place, "\"" + item.value + "\"", expected_value(*rule));
         }
     }
 }
 
-void require(const command& statement, std::string_view attribute, findings& problems) {
+void require_attribute(const command& statement, std::string_view attribute, findings& problems) {
     if (statement.find(attribute) == nullptr) {
         problems.add(statement.place, "no " + std::string(attribute),
-                     "a " + statement.noun + " with its " + std::string(attribute));
+                     "a " + statement.noun + " with the attribute " + std::string(attribute));
     }
 }
 
-void check_put(const command& statement, findings& problems) {
+void check_create_or_change(const command& statement, findings& problems) {
     const bool known = statement.noun == "client_account" || statement.noun == "budget" ||
                        statement.noun == "service";
     if (!known) {
@@ -125,18 +125,18 @@
     }
     check_assignments(statement, problems);
     if (statement.noun == "budget") {
-        require(statement, "limit", problems);
+        require_attribute(statement, "limit", problems);
         return;
     }
     const bool created = statement.verb == command_verb::create;
     if (created && statement.noun == "client_account") {
-        require(statement, "budget", problems);
+        require_attribute(statement, "budget", problems);
         if (statement.find("key_sha256") == nullptr) {
-            require(statement, "key", problems);
+            require_attribute(statement, "key", problems);
         }
     }
     if (created && statement.noun == "service") {
-        require(statement, "kind", problems);
+        require_attribute(statement, "kind", problems);
     }
 }
 
@@ -152,38 +152,38 @@
     problems.add(statement.place, statement.noun, list);
 }
 
-void check_one(const command& statement, findings& problems) {
-    constexpr std::array<std::string_view, 2> removable{"client_account", "service"};
-    constexpr std::array<std::string_view, 1> drainable{"host"};
-    constexpr std::array<std::string_view, 1> releasable{"grant"};
+void check_statement(const command& statement, findings& problems) {
+    constexpr std::array<std::string_view, 2> removable_nouns{"client_account", "service"};
+    constexpr std::array<std::string_view, 1> drainable_nouns{"host"};
+    constexpr std::array<std::string_view, 1> releasable_nouns{"grant"};
     switch (statement.verb) {
         case command_verb::create:
         case command_verb::change:
-            check_put(statement, problems);
+            check_create_or_change(statement, problems);
             return;
         case command_verb::remove:
-            check_noun(statement, removable, problems);
+            check_noun(statement, removable_nouns, problems);
             return;
         case command_verb::drain:
         case command_verb::undrain:
-            check_noun(statement, drainable, problems);
+            check_noun(statement, drainable_nouns, problems);
             return;
         case command_verb::release:
-            check_noun(statement, releasable, problems);
+            check_noun(statement, releasable_nouns, problems);
             return;
         default:
             return;
     }
 }
 
-/// Between begin and commit only changes of the configuration may stand: the ledger is another
-/// stream, and two streams have no common order.
+/// Allows only configuration changes between begin and commit: budgets are stored in the ledger,
+/// which is a separate stream, so a change of both could not be atomic.
 void check_blocks(std::span<const command> commands, findings& problems) {
     const command* open = nullptr;
     for (const command& statement : commands) {
         if (statement.verb == command_verb::begin) {
             if (open != nullptr) {
-                problems.add(statement.place, "begin", "a commit of the block that is open first");
+                problems.add(statement.place, "begin", "a commit of the open block first");
             }
             open = &statement;
         } else if (statement.verb == command_verb::commit) {
@@ -195,7 +195,7 @@
             problems.add(statement.place,
                          std::string(name_of(statement.verb)) + " " + statement.noun,
                          "only changes of client_account, service and host between begin and "
-                         "commit; budgets live in the ledger");
+                         "commit; budgets are stored in the ledger");
         }
     }
     if (open != nullptr) {
@@ -203,7 +203,7 @@
     }
 }
 
-client_account account_of(const command& statement, const configuration& current) {
+client_account updated_account(const command& statement, const configuration& current) {
     client_account account;
     const auto known = current.client_accounts().find(statement.name);
     if (known != current.client_accounts().end()) {
@@ -220,12 +220,12 @@
         account.budget = *budget;
     }
     if (const std::string* priority = statement.find("priority")) {
-        account.priority = static_cast<std::uint32_t>(to_number(*priority).value_or(0));
+        account.priority = static_cast<std::uint32_t>(parse_integer(*priority).value_or(0));
     }
     return account;
 }
 
-service service_of(const command& statement, const configuration& current) {
+service updated_service(const command& statement, const configuration& current) {
     service value;
     if (const service* known = current.find_service(statement.name)) {
         value = *known;
@@ -235,13 +235,13 @@
         value.model = *kind == "model";
     }
     if (const std::string* cost = statement.find("tokens_per_call")) {
-        value.tokens_per_call = to_number(*cost).value_or(0);
+        value.tokens_per_call = parse_integer(*cost).value_or(0);
     }
     if (const std::string* repeatable = statement.find("repeatable")) {
         value.repeatable = *repeatable == "true";
     }
     if (const std::string* concurrency = statement.find("concurrency")) {
-        value.concurrency = static_cast<std::uint32_t>(to_number(*concurrency).value_or(0));
+        value.concurrency = static_cast<std::uint32_t>(parse_integer(*concurrency).value_or(0));
     }
     return value;
 }
@@ -250,7 +250,7 @@
 
 void check_commands(std::span<const command> commands, findings& problems) {
     for (const command& statement : commands) {
-        check_one(statement, problems);
+        check_statement(statement, problems);
     }
     check_blocks(commands, problems);
 }
@@ -269,7 +269,8 @@
     }
 }
 
-result<configuration_change> change_of(const command& statement, const configuration& current) {
+result<configuration_change> to_configuration_change(const command& statement,
+                                                     const configuration& current) {
     const bool is_account = statement.noun == "client_account";
     const bool exists = is_account ? current.client_accounts().count(statement.name) > 0
                                    : current.find_service(statement.name) != nullptr;
@@ -277,7 +278,7 @@
         case command_verb::create:
             if (exists) {
                 return failed(error_code::conflict,
-                              "The " + statement.noun + " " + statement.name + " exists.");
+                              "The " + statement.noun + " " + statement.name + " already exists.");
             }
             break;
         case command_verb::change:
@@ -296,12 +297,13 @@
         case command_verb::undrain:
             return configuration_change(undrain_host{statement.name});
         default:
-            return failed(error_code::bad_input, "The statement changes no configuration.");
+            return failed(error_code::bad_input,
+                          "The statement does not change the configuration.");
     }
     if (is_account) {
-        return configuration_change(put_client_account{account_of(statement, current)});
+        return configuration_change(put_client_account{updated_account(statement, current)});
     }
-    return configuration_change(put_service{service_of(statement, current)});
+    return configuration_change(put_service{updated_service(statement, current)});
 }
 
 }  // namespace wrenswitch
--- a/src/decision/ledger/budget_state.cpp
+++ b/src/decision/ledger/budget_state.cpp
@@ -24,7 +24,7 @@
     return 0;
 }
 
-tokens budget_state::waiting_total() const {
+tokens budget_state::total_waiting_need() const {
     return std::accumulate(waiting.begin(), waiting.end(), tokens{0},
                            [](tokens sum, const waiting_need& item) { return sum + item.need; });
 }
--- a/src/decision/ledger/key_memory.cpp
+++ b/src/decision/ledger/key_memory.cpp
@@ -4,35 +4,35 @@
 
 namespace wrenswitch {
 
-key_facts key_memory::facts_of(const digest& key) const {
-    const auto young = younger_.keys.find(key);
-    if (young != younger_.keys.end()) {
-        return young->second;
+request_key_state request_history::key_state(const digest& key) const {
+    const auto younger_entry = younger_.keys.find(key);
+    if (younger_entry != younger_.keys.end()) {
+        return younger_entry->second;
     }
-    const auto old = older_.keys.find(key);
-    return old == older_.keys.end() ? key_facts{} : old->second;
+    const auto older_entry = older_.keys.find(key);
+    return older_entry == older_.keys.end() ? request_key_state{} : older_entry->second;
 }
 
-void key_memory::put(const digest& key, key_facts facts) {
+void request_history::set_key_state(const digest& key, request_key_state state) {
     rotate_if_full();
-    younger_.keys[key] = facts;
+    younger_.keys[key] = state;
 }
 
-bool key_memory::has_ticket(ticket_id ticket) const {
+bool request_history::has_ticket(ticket_id ticket) const {
     return younger_.tickets.count(ticket) > 0 || older_.tickets.count(ticket) > 0;
 }
 
-void key_memory::add_ticket(ticket_id ticket) {
+void request_history::add_ticket(ticket_id ticket) {
     rotate_if_full();
     younger_.tickets.insert(ticket);
 }
 
-void key_memory::restore(generation younger, generation older) {
+void request_history::restore(generation younger, generation older) {
     younger_ = std::move(younger);
     older_ = std::move(older);
 }
 
-void key_memory::rotate_if_full() {
+void request_history::rotate_if_full() {
     if (younger_.keys.size() + younger_.tickets.size() < generation_size_) {
         return;
     }
--- a/src/decision/ledger/ledger_state.cpp
+++ b/src/decision/ledger/ledger_state.cpp
@@ -6,8 +6,8 @@
 namespace wrenswitch {
 namespace {
 
-/// How many set_budget operations a budget remembers for repeats.
-constexpr std::size_t remembered_operations = 4;
+/// The number of set_budget operations that a budget remembers to detect repeats.
+constexpr std::size_t max_remembered_operations = 4;
 
 holding& holding_of(budget_state& budget, incarnation_id holder) {
     for (holding& item : budget.holdings) {
@@ -18,11 +18,11 @@
     return budget.holdings.emplace_back(holding{holder, 0});
 }
 
-void drop_empty_holdings(budget_state& budget) {
+void erase_empty_holdings(budget_state& budget) {
     std::erase_if(budget.holdings, [](const holding& item) { return item.outstanding == 0; });
 }
 
-void set_waiting(budget_state& budget, incarnation_id holder, tokens need) {
+void set_waiting_need(budget_state& budget, incarnation_id holder, tokens need) {
     const auto found =
         std::find_if(budget.waiting.begin(), budget.waiting.end(),
                      [holder](const waiting_need& item) { return item.holder == holder; });
@@ -64,13 +64,13 @@
         return state.apply_reclaim(operation);
     }
     operation_outcome operator()(const claim_key_operation& operation) const {
-        return state.apply_claim(writer, operation);
+        return state.apply_claim_key(writer, operation);
     }
-    operation_outcome operator()(const hold_keys_operation&) const {
-        return state.apply_hold_keys(writer);
+    operation_outcome operator()(const lock_keys_operation&) const {
+        return state.apply_lock_keys(writer);
     }
-    operation_outcome operator()(const release_keys_operation&) const {
-        return state.apply_release_keys(writer);
+    operation_outcome operator()(const unlock_keys_operation&) const {
+        return state.apply_unlock_keys(writer);
     }
 };
 
@@ -106,10 +106,10 @@
 std::vector<budget_id> ledger_state::budgets_of(incarnation_id holder) const {
     std::vector<budget_id> held;
     for (const auto& [id, budget] : budgets_) {
-        const bool waits =
+        const bool has_need =
             std::any_of(budget.waiting.begin(), budget.waiting.end(),
                         [holder](const waiting_need& item) { return item.holder == holder; });
-        if (waits || budget.outstanding_of(holder) > 0) {
+        if (has_need || budget.outstanding_of(holder) > 0) {
             held.push_back(id);
         }
     }
@@ -118,10 +118,10 @@
 
 void ledger_state::restore(std::unordered_map<budget_id, budget_state> budgets,
                            std::unordered_map<incarnation_id, ledger_writer> writers,
-                           key_memory keys, incarnation_id key_holder) {
+                           request_history history, incarnation_id key_holder) {
     budgets_ = std::move(budgets);
     writers_ = std::move(writers);
-    keys_ = std::move(keys);
+    history_ = std::move(history);
     key_holder_ = key_holder;
 }
 
@@ -136,8 +136,9 @@
         if (budget.name != operation.name) {
             return operation_outcome::refused_name_clash;
         }
-        const auto& known = budget.operations;
-        if (std::find(known.begin(), known.end(), operation.operation) != known.end()) {
+        const auto& applied_operations = budget.operations;
+        if (std::find(applied_operations.begin(), applied_operations.end(), operation.operation) !=
+            applied_operations.end()) {
             return operation_outcome::accepted;
         }
         if (operation.limit < budget.committed()) {
@@ -147,11 +148,11 @@
     budget_state& budget = budgets_[id];
     budget.name = operation.name;
     budget.limit = operation.limit;
-    if (budget.operations.size() >= remembered_operations) {
+    if (budget.operations.size() >= max_remembered_operations) {
         budget.operations.erase(budget.operations.begin());
     }
     budget.operations.push_back(operation.operation);
-    serve_waiting(budget);
+    grant_waiting(budget);
     return operation_outcome::accepted;
 }
 
@@ -159,10 +160,10 @@
     if (is_closed(writer)) {
         return operation_outcome::refused_closed_holder;
     }
-    const bool amounts_fit = operation.amount >= 0 && operation.need >= 0 &&
-                             operation.amount <= max_budget_limit &&
-                             operation.need <= operation.amount;
-    if (!amounts_fit) {
+    const bool amounts_valid = operation.amount >= 0 && operation.need >= 0 &&
+                               operation.amount <= max_budget_limit &&
+                               operation.need <= operation.amount;
+    if (!amounts_valid) {
         return operation_outcome::refused_bad_amount;
     }
     const auto found = budgets_.find(operation.budget);
@@ -174,7 +175,7 @@
     if (granted > 0) {
         holding_of(budget, writer).outstanding += granted;
     }
-    set_waiting(budget, writer, operation.need - granted);
+    set_waiting_need(budget, writer, operation.need - granted);
     return granted < operation.need ? operation_outcome::partly_granted
                                     : operation_outcome::accepted;
 }
@@ -193,8 +194,8 @@
         return operation_outcome::refused_exceeds_holding;
     }
     holding_of(budget, writer).outstanding -= operation.amount;
-    drop_empty_holdings(budget);
-    serve_waiting(budget);
+    erase_empty_holdings(budget);
+    grant_waiting(budget);
     return operation_outcome::accepted;
 }
 
@@ -206,31 +207,31 @@
     if (settled.amount < 0 || settled.amount > max_budget_limit) {
         return operation_outcome::refused_bad_amount;
     }
-    if (keys_.has_ticket(settled.ticket)) {
+    if (history_.has_ticket(settled.ticket)) {
         return operation_outcome::already_settled;
     }
     budget_state& budget = found->second;
-    keys_.add_ticket(settled.ticket);
-    const tokens covered = take_from_grant(budget, settled);
+    history_.add_ticket(settled.ticket);
+    const tokens covered = consume_grant(budget, settled);
     budget.unbacked += settled.amount - covered;
 
-    key_facts facts = keys_.facts_of(settled.key);
-    const bool first_bill = !facts.billed;
-    if (first_bill) {
-        facts.billed = true;
-        keys_.put(settled.key, facts);
+    request_key_state state = history_.key_state(settled.key);
+    const bool first_billing = !state.billed;
+    if (first_billing) {
+        state.billed = true;
+        history_.set_key_state(settled.key, state);
         budget.billed += settled.amount;
     } else {
         budget.burnt += settled.amount;
     }
-    serve_waiting(budget);
+    grant_waiting(budget);
     if (covered < settled.amount) {
         return operation_outcome::unbacked;
     }
-    return first_bill ? operation_outcome::accepted : operation_outcome::billed_once_already;
+    return first_billing ? operation_outcome::accepted : operation_outcome::billed_once_already;
 }
 
-tokens ledger_state::take_from_grant(budget_state& budget, const charge& settled) {
+tokens ledger_state::consume_grant(budget_state& budget, const charge& settled) {
     const auto running =
         std::find_if(budget.running.begin(), budget.running.end(),
                      [&settled](const charge& item) { return item.ticket == settled.ticket; });
@@ -242,7 +243,7 @@
     const tokens covered = std::min(settled.amount, budget.outstanding_of(settled.holder));
     if (covered > 0) {
         holding_of(budget, settled.holder).outstanding -= covered;
-        drop_empty_holdings(budget);
+        erase_empty_holdings(budget);
     }
     return covered;
 }
@@ -273,7 +274,7 @@
             continue;
         }
         if (listed.running) {
-            keep_running(found->second, listed);
+            track_running(found->second, listed);
         } else {
             apply_settle(listed);
         }
@@ -282,23 +283,23 @@
     return operation_outcome::accepted;
 }
 
-void ledger_state::keep_running(budget_state& budget, const charge& listed) {
-    if (keys_.has_ticket(listed.ticket) || listed.amount < 0) {
+void ledger_state::track_running(budget_state& budget, const charge& listed) {
+    if (history_.has_ticket(listed.ticket) || listed.amount < 0) {
         return;
     }
-    // The bound moves from the holder's grant to the charge, so that it stays committed.
+    // Moves the bound from the holder's grant to the charge, so that it stays committed.
     const tokens covered = std::min(listed.amount, budget.outstanding_of(listed.holder));
     if (covered > 0) {
         holding_of(budget, listed.holder).outstanding -= covered;
-        drop_empty_holdings(budget);
+        erase_empty_holdings(budget);
     }
     budget.running.push_back(listed);
     budget.running.back().amount = covered;
-    // Whoever holds the key grant next must know that this key has run.
-    key_facts facts = keys_.facts_of(listed.key);
-    if (facts.claimed_by == ticket_id{}) {
-        facts.claimed_by = listed.ticket;
-        keys_.put(listed.key, facts);
+    // The next holder of the key lock must know that a request with this key was started.
+    request_key_state state = history_.key_state(listed.key);
+    if (state.claimed_by == ticket_id{}) {
+        state.claimed_by = listed.ticket;
+        history_.set_key_state(listed.key, state);
     }
 }
 
@@ -306,14 +307,14 @@
     for (auto& [id, budget] : budgets_) {
         const auto erased = std::erase_if(
             budget.holdings, [holder](const holding& item) { return item.holder == holder; });
-        set_waiting(budget, holder, 0);
+        set_waiting_need(budget, holder, 0);
         if (erased > 0) {
-            serve_waiting(budget);
+            grant_waiting(budget);
         }
     }
 }
 
-operation_outcome ledger_state::apply_hold_keys(incarnation_id writer) {
+operation_outcome ledger_state::apply_lock_keys(incarnation_id writer) {
     if (is_closed(writer)) {
         return operation_outcome::refused_closed_holder;
     }
@@ -324,7 +325,7 @@
     return operation_outcome::accepted;
 }
 
-operation_outcome ledger_state::apply_release_keys(incarnation_id writer) {
+operation_outcome ledger_state::apply_unlock_keys(incarnation_id writer) {
     if (key_holder_ != writer) {
         return operation_outcome::refused_keys_held;
     }
@@ -332,24 +333,24 @@
     return operation_outcome::accepted;
 }
 
-operation_outcome ledger_state::apply_claim(incarnation_id writer,
-                                            const claim_key_operation& operation) {
+operation_outcome ledger_state::apply_claim_key(incarnation_id writer,
+                                                const claim_key_operation& operation) {
     if (key_holder_ != writer) {
         return operation_outcome::refused_keys_held;
     }
-    key_facts facts = keys_.facts_of(operation.key);
-    if (facts.claimed_by == operation.ticket) {
+    request_key_state state = history_.key_state(operation.key);
+    if (state.claimed_by == operation.ticket) {
         return operation_outcome::accepted;
     }
-    if (facts.claimed_by != ticket_id{} || facts.billed) {
+    if (state.claimed_by != ticket_id{} || state.billed) {
         return operation_outcome::refused_key_claimed;
     }
-    facts.claimed_by = operation.ticket;
-    keys_.put(operation.key, facts);
+    state.claimed_by = operation.ticket;
+    history_.set_key_state(operation.key, state);
     return operation_outcome::accepted;
 }
 
-void ledger_state::serve_waiting(budget_state& budget) {
+void ledger_state::grant_waiting(budget_state& budget) {
     while (!budget.waiting.empty()) {
         const tokens free = budget.available();
         if (free <= 0) {
--- a/src/drivers/control_codec.cpp
+++ b/src/drivers/control_codec.cpp
@@ -98,18 +98,18 @@
     wire::ControlRecord& out;
 
     void operator()(const register_record& record) const {
-        encode_registration(record.self, *out.mutable_registration());
+        encode_registration(record.info, *out.mutable_registration());
     }
     void operator()(const close_record&) const { out.mutable_close(); }
     void operator()(const fence_record& record) const {
         out.mutable_fence()->set_incarnation(raw(record.incarnation));
     }
-    void operator()(const marks_record& record) const {
+    void operator()(const fence_acks_record& record) const {
         wire::Marks& target = *out.mutable_marks();
-        for (const fence_mark& mark : record.marks) {
+        for (const fence_ack& mark : record.acks) {
             wire::Mark& item = *target.add_marks();
             item.set_fenced(raw(mark.fenced));
-            item.set_marker(raw(mark.marker));
+            item.set_marker(raw(mark.sender));
             for (const charge& listed : mark.charges) {
                 encode_charge(listed, incarnation_id{}, *item.add_charges());
             }
@@ -119,7 +119,7 @@
         wire::ConfigurationChange& target = *out.mutable_configuration();
         target.set_operation(raw(set.operation));
         target.set_base_version(set.base_version);
-        target.set_guarded(set.guarded);
+        target.set_guarded(set.check_base_version);
         for (const configuration_change& change : set.changes) {
             std::visit(change_encoder{*target.add_changes()}, change);
         }
@@ -135,13 +135,13 @@
         case wire::ControlRecord::kFence:
             return control_record_kind(fence_record{incarnation_id{in.fence().incarnation()}});
         case wire::ControlRecord::kMarks: {
-            marks_record marks;
+            fence_acks_record marks;
             for (const wire::Mark& item : in.marks().marks()) {
-                fence_mark mark{incarnation_id{item.fenced()}, incarnation_id{item.marker()}, {}};
+                fence_ack mark{incarnation_id{item.fenced()}, incarnation_id{item.marker()}, {}};
                 for (const wire::Charge& listed : item.charges()) {
                     mark.charges.push_back(decode_charge(listed, incarnation_id{}));
                 }
-                marks.marks.push_back(std::move(mark));
+                marks.acks.push_back(std::move(mark));
             }
             return control_record_kind(std::move(marks));
         }
@@ -149,7 +149,7 @@
             change_set set;
             set.operation = operation_id{in.configuration().operation()};
             set.base_version = in.configuration().base_version();
-            set.guarded = in.configuration().guarded();
+            set.check_base_version = in.configuration().guarded();
             for (const wire::Change& item : in.configuration().changes()) {
                 result<configuration_change> change = decode_change(item);
                 if (!change) {
@@ -168,10 +168,10 @@
 void encode_fence(const fence_state& fence, wire::SnapshotFence& out) {
     out.set_incarnation(raw(fence.fenced));
     out.set_offset(raw(fence.offset));
-    for (const incarnation_id id : fence.awaited) {
+    for (const incarnation_id id : fence.pending_acks) {
         out.add_awaited(raw(id));
     }
-    for (const incarnation_id id : fence.marked_by) {
+    for (const incarnation_id id : fence.acked_by) {
         out.add_marked_by(raw(id));
     }
     for (const charge& item : fence.charges) {
@@ -184,10 +184,10 @@
     fence.fenced = incarnation_id{in.incarnation()};
     fence.offset = log_offset{in.offset()};
     for (const std::uint64_t id : in.awaited()) {
-        fence.awaited.insert(incarnation_id{id});
+        fence.pending_acks.insert(incarnation_id{id});
     }
     for (const std::uint64_t id : in.marked_by()) {
-        fence.marked_by.insert(incarnation_id{id});
+        fence.acked_by.insert(incarnation_id{id});
     }
     for (const wire::Charge& item : in.charges()) {
         fence.charges.push_back(decode_charge(item, incarnation_id{}));
@@ -245,7 +245,7 @@
 }
 
 std::string encode_control_snapshot(const control_state& state, log_offset as_of) {
-    const control_state::image image = state.to_image();
+    const control_state::snapshot image = state.to_snapshot();
     wire::ControlSnapshot out;
     out.set_as_of(raw(as_of));
     out.set_version(image.config.version());
@@ -261,7 +261,7 @@
     for (const auto& [id, known] : image.members) {
         wire::SnapshotMember& target = *out.add_members();
         target.set_incarnation(raw(id));
-        encode_registration(known.self, *target.mutable_registration());
+        encode_registration(known.info, *target.mutable_registration());
         target.set_registered_at(raw(known.registered_at));
         target.set_closed(known.closed);
         target.set_fenced_at(raw(known.fenced_at));
@@ -288,7 +288,7 @@
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return failed(error_code::damaged, "The snapshot is not in the control stream's form.");
     }
-    control_state::image image;
+    control_state::snapshot image;
     std::vector<client_account> accounts;
     for (const wire::ClientAccount& item : in.client_accounts()) {
         accounts.push_back(decode_account(item));
--- a/src/drivers/ledger_codec.cpp
+++ b/src/drivers/ledger_codec.cpp
@@ -49,8 +49,8 @@
         target.set_key_low(operation.key.low);
         target.set_ticket(raw(operation.ticket));
     }
-    void operator()(const hold_keys_operation&) const { out.mutable_hold_keys(); }
-    void operator()(const release_keys_operation&) const { out.mutable_release_keys(); }
+    void operator()(const lock_keys_operation&) const { out.mutable_hold_keys(); }
+    void operator()(const unlock_keys_operation&) const { out.mutable_release_keys(); }
 };
 
 result<ledger_operation> decode_operation(const wire::LedgerOperation& in, incarnation_id writer) {
@@ -82,9 +82,9 @@
                 claim_key_operation{digest{in.claim_key().key_high(), in.claim_key().key_low()},
                                     ticket_id{in.claim_key().ticket()}});
         case wire::LedgerOperation::kHoldKeys:
-            return ledger_operation(hold_keys_operation{});
+            return ledger_operation(lock_keys_operation{});
         case wire::LedgerOperation::kReleaseKeys:
-            return ledger_operation(release_keys_operation{});
+            return ledger_operation(unlock_keys_operation{});
         case wire::LedgerOperation::KIND_NOT_SET:
             break;
     }
@@ -137,7 +137,7 @@
     return budget;
 }
 
-void encode_generation(const key_memory::generation& generation, bool older,
+void encode_generation(const request_history::generation& generation, bool older,
                        wire::LedgerSnapshot& out) {
     for (const auto& [key, facts] : generation.keys) {
         wire::SnapshotKey& target = *out.add_keys();
@@ -252,8 +252,8 @@
         target.set_sequence(writer.last_sequence);
         target.set_closed(writer.closed);
     }
-    encode_generation(state.keys().younger(), false, snapshot);
-    encode_generation(state.keys().older(), true, snapshot);
+    encode_generation(state.history().younger(), false, snapshot);
+    encode_generation(state.history().older(), true, snapshot);
     return snapshot.SerializeAsString();
 }
 
@@ -270,18 +270,18 @@
     for (const wire::SnapshotWriter& item : snapshot.writers()) {
         writers[incarnation_id{item.writer()}] = {item.sequence(), item.closed()};
     }
-    key_memory::generation younger;
-    key_memory::generation older;
+    request_history::generation younger;
+    request_history::generation older;
     for (const wire::SnapshotKey& item : snapshot.keys()) {
-        key_memory::generation& target = item.older_generation() ? older : younger;
+        request_history::generation& target = item.older_generation() ? older : younger;
         target.keys[digest{item.key_high(), item.key_low()}] =
-            key_facts{ticket_id{item.claimed_by()}, item.billed()};
+            request_key_state{ticket_id{item.claimed_by()}, item.billed()};
     }
     for (const wire::SnapshotTicket& item : snapshot.tickets()) {
-        key_memory::generation& target = item.older_generation() ? older : younger;
+        request_history::generation& target = item.older_generation() ? older : younger;
         target.tickets.insert(ticket_id{item.ticket()});
     }
-    key_memory keys(ledger_state::default_key_generation);
+    request_history keys(ledger_state::default_generation_size);
     keys.restore(std::move(younger), std::move(older));
     ledger_state state;
     state.restore(std::move(budgets), std::move(writers), std::move(keys),
--- a/src/experiment/budget_run.cpp
+++ b/src/experiment/budget_run.cpp
@@ -62,7 +62,7 @@
     incarnation_id incarnation{};
     ledger_state ledger;
     std::size_t read = 0;
-    std::unique_ptr<budget_home> home;
+    std::unique_ptr<budget_allocator> home;
     std::uint64_t sequence = 0;
     std::vector<ledger_operation> batch;
     std::unordered_map<std::uint64_t, std::pair<std::size_t, tokens>> waiting;
@@ -195,15 +195,15 @@
     where.incarnation = incarnation_id{next_incarnation_++};
     where.sequence = 0;
     where.batch.clear();
-    home_settings settings;
+    allocator_settings settings;
     settings.incarnation = where.incarnation;
     settings.policy = policy_;
-    settings.homes = scenario_.homes;
-    settings.assumed_bound = most_cost;
+    settings.allocator_count = scenario_.homes;
+    settings.default_bound = most_cost;
     site* self = &where;
-    where.home = std::make_unique<budget_home>(
+    where.home = std::make_unique<budget_allocator>(
         settings, where.ledger, random_,
-        [this, self](std::uint64_t request, const reservation_answer& answer) {
+        [this, self](std::uint64_t request, const reservation_reply& answer) {
             answered(*self, request, answer);
         });
     where.up_at = now;
@@ -296,7 +296,7 @@
             }
             const auto* draw = std::get_if<draw_operation>(&operation);
             if (draw != nullptr && draw->need > 0 && batch.writer != where.incarnation) {
-                where.home->need_seen(instant(now), draw->budget);
+                where.home->remote_need_changed(instant(now), draw->budget);
             }
         }
         const bool own = batch.writer == where.incarnation && !where.batch.empty() &&
@@ -338,24 +338,24 @@
     const auto cost = least_cost + static_cast<tokens>(random_.below(most_cost - least_cost));
     const double factor =
         least_bound_factor + random_.unit() * (most_bound_factor - least_bound_factor);
-    reservation_ask ask;
-    ask.request = next_request_++;
+    reservation_request ask;
+    ask.request_id = next_request_++;
     ask.budget = known.name;
     ask.key = digest{0, next_key_++};
     ask.bound = static_cast<tokens>(static_cast<double>(cost) * factor);
-    ask.wait = token_wait;
+    ask.max_wait = token_wait;
     if (!where.up) {
         refuse(budget, ask.bound, now);
         return;
     }
-    where.waiting[ask.request] = {budget, ask.bound};
+    where.waiting[ask.request_id] = {budget, ask.bound};
     const auto answer = where.home->reserve(instant(now), ask);
     if (answer) {
-        answered(where, ask.request, *answer);
+        answered(where, ask.request_id, *answer);
     }
 }
 
-void budget_run::answered(site& where, std::uint64_t request, const reservation_answer& answer) {
+void budget_run::answered(site& where, std::uint64_t request, const reservation_reply& answer) {
     const auto found = where.waiting.find(request);
     if (found == where.waiting.end()) {
         return;
@@ -381,7 +381,7 @@
     request.ends = now + seconds(1 + random_.below(longest_duration_s));
     budgets_[budget].reserved += granted.bound;
     running_.push_back(request);
-    (void)where.home->started(granted.id, incarnation_id{~1ULL}, "guard");
+    (void)where.home->ticket_started(granted.id, incarnation_id{~1ULL}, "guard");
 }
 
 void budget_run::refuse(std::size_t budget, tokens bound, microseconds now) {
@@ -421,7 +421,7 @@
     value.key = ended.used.key;
     value.ticket = ended.used.id;
     value.amount = ended.cost;
-    where.home->charge_ended(instant(now), value);
+    where.home->charge_reported(instant(now), value);
 }
 
 /// Guards report again what was not acknowledged, to whoever is the home now.
--- a/src/experiment/budget_run.hpp
+++ b/src/experiment/budget_run.hpp
@@ -62,7 +62,7 @@
     void read_log(site& where, microseconds now);
     void append_batch(site& where, microseconds now);
     void arrive(site& where, std::size_t budget, microseconds now);
-    void answered(site& where, std::uint64_t request, const reservation_answer& answer);
+    void answered(site& where, std::uint64_t request, const reservation_reply& answer);
     void begin(site& where, std::size_t budget, const ticket& granted, microseconds now);
     void refuse(std::size_t budget, tokens bound, microseconds now);
     void end_requests(microseconds now);
--- a/src/experiment/slopes.cpp
+++ b/src/experiment/slopes.cpp
@@ -127,13 +127,13 @@
 json home_slopes(random_source& random) {
     json figures;
     const auto ledger = ledger_with(small_size, 3);
-    home_settings settings;
+    allocator_settings settings;
     settings.incarnation = own;
     settings.policy = shared_reserve_policy({});
-    settings.homes = 3;
+    settings.allocator_count = 3;
     const auto make_home = [&] {
-        return std::make_unique<budget_home>(settings, *ledger, random,
-                                             [](std::uint64_t, const reservation_answer&) {});
+        return std::make_unique<budget_allocator>(settings, *ledger, random,
+                                                  [](std::uint64_t, const reservation_reply&) {});
     };
     const auto home = make_home();
     const double before = heap_bytes();
@@ -154,8 +154,8 @@
     std::uint64_t key = 1;
     const instant now(seconds(200));
     figures["home_us_a_reservation"] = microseconds_a_call(large_size, [&](std::size_t index) {
-        reservation_ask ask;
-        ask.request = index;
+        reservation_request ask;
+        ask.request_id = index;
         ask.budget = budget_name(index % small_size);
         ask.key = digest{0, key++};
         ask.bound = 100;
@@ -170,7 +170,7 @@
         static_cast<double>(tickets.size());
     figures["home_us_a_charge"] = microseconds_a_call(tickets.size(), [&](std::size_t index) {
         const ticket& used = tickets[index];
-        home->charge_ended(now, {used.budget, own, used.key, used.id, 50, false});
+        home->charge_reported(now, {used.budget, own, used.key, used.id, 50, false});
     });
     figures["reservations_granted"] = tickets.size();
     return figures;
@@ -212,9 +212,9 @@
     const control_record change{
         own, 1, change_set{operation_id{~0ULL}, 100'000, true, {put_client_account{account}}}};
     figures["record_bytes_of_a_change"] = encode_control_record(change).size();
-    marks_record marks;
+    fence_acks_record marks;
     for (std::uint64_t index = 0; index < 100; ++index) {
-        marks.marks.push_back({own, incarnation_id{~index}, {}});
+        marks.acks.push_back({own, incarnation_id{~index}, {}});
     }
     figures["record_bytes_of_100_marks"] = encode_control_record({own, 1, marks}).size();
 
--- a/src/roles/entry/entry.cpp
+++ b/src/roles/entry/entry.cpp
@@ -424,28 +424,28 @@
     if (self == nullptr || !control_->idle()) {
         return;
     }
-    marks_record marks;
+    fence_acks_record marks;
     for (const auto& [fenced, fence] : control_->state().fences()) {
         const member* known = control_->state().find(fenced);
-        const bool wanted = known != nullptr && known->self.role == member_role::guard &&
+        const bool wanted = known != nullptr && known->info.role == member_role::guard &&
                             fence.offset > self->registered_at &&
-                            control_->state().wants_mark(fenced, own_) &&
-                            homes_->cleared_of(fenced);
+                            control_->state().wants_ack(fenced, own_) &&
+                            homes_->is_guard_settled(fenced);
         if (wanted) {
-            marks.marks.push_back({fenced, own_, {}});
+            marks.acks.push_back({fenced, own_, {}});
             homes_->forget_guard(fenced);
         }
     }
-    if (!marks.marks.empty()) {
+    if (!marks.acks.empty()) {
         control_->submit(std::move(marks));
     }
 }
 
 void entry::collect_mark(const wire::MarkReport& report) {
-    fence_mark mark{incarnation_id{report.fenced()}, incarnation_id{report.marker()}, {}};
-    const bool wanted = control_->state().wants_mark(mark.fenced, mark.marker);
-    const bool queued = std::any_of(marks_.begin(), marks_.end(), [&mark](const fence_mark& item) {
-        return item.fenced == mark.fenced && item.marker == mark.marker;
+    fence_ack mark{incarnation_id{report.fenced()}, incarnation_id{report.marker()}, {}};
+    const bool wanted = control_->state().wants_ack(mark.fenced, mark.sender);
+    const bool queued = std::any_of(marks_.begin(), marks_.end(), [&mark](const fence_ack& item) {
+        return item.fenced == mark.fenced && item.sender == mark.sender;
     });
     if (!wanted || queued) {
         return;
@@ -460,7 +460,7 @@
     if (marks_.empty() || !active_ || !control_->idle()) {
         return;
     }
-    control_->submit(marks_record{std::exchange(marks_, {})});
+    control_->submit(fence_acks_record{std::exchange(marks_, {})});
 }
 
 void entry::update_gauges(instant now) {
--- a/src/roles/entry/entry.hpp
+++ b/src/roles/entry/entry.hpp
@@ -87,7 +87,7 @@
     std::unordered_map<std::uint64_t, std::shared_ptr<request_flow>> flows_;
     std::map<incarnation_id, instant> last_ping_;
     /// Marks that came from guards and are not appended yet.
-    std::vector<fence_mark> marks_;
+    std::vector<fence_ack> marks_;
     std::set<incarnation_id> fences_sent_;
     std::unique_ptr<timer> tick_;
     std::unique_ptr<timer> pump_timer_;
--- a/src/roles/entry/entry_settings.cpp
+++ b/src/roles/entry/entry_settings.cpp
@@ -84,7 +84,7 @@
     settings->policy = optional_choice(reader, "grant_policy", policy_names, settings->policy);
     settings->grants.reserve_share =
         reader.number_or("reserve_share", settings->grants.reserve_share, 0.0, 1.0);
-    settings->grants.cut_off_horizon =
+    settings->grants.outage_horizon =
         milliseconds(reader.integer_or("cut_off_horizon_ms", 7'200'000, 1000, day_ms));
     settings->grants.working_horizon =
         milliseconds(reader.integer_or("working_horizon_ms", 20'000, 1000, day_ms));
--- a/src/roles/entry/fleet_view.cpp
+++ b/src/roles/entry/fleet_view.cpp
@@ -22,8 +22,8 @@
 
 std::string fleet_view::group_of(const member& other) const {
     return settings_.scope == home_scope::region
-               ? other.self.region
-               : other.self.region + "/" + other.self.failure_domain;
+               ? other.info.region
+               : other.info.region + "/" + other.info.failure_domain;
 }
 
 void fleet_view::rebuild() {
@@ -44,7 +44,7 @@
             continue;
         }
         heard_.try_emplace(id, now);
-        if (other.self.role == member_role::guard) {
+        if (other.info.role == member_role::guard) {
             guards_.push_back(id);
             continue;
         }
@@ -63,11 +63,11 @@
     std::vector<routable_target> targets;
     for (const incarnation_id id : guards_) {
         const member& guard = *control_.find(id);
-        if (control_.config().drained_hosts().count(guard.self.host) > 0) {
+        if (control_.config().drained_hosts().count(guard.info.host) > 0) {
             continue;
         }
-        targets.push_back({id, guard.self.service, guard.self.failure_domain, guard.self.host,
-                           guard.self.endpoint});
+        targets.push_back({id, guard.info.service, guard.info.failure_domain, guard.info.host,
+                           guard.info.endpoint});
     }
     picker_.set_targets(targets);
 }
@@ -89,10 +89,10 @@
     std::vector<rendezvous_candidate> candidates;
     candidates.reserve(entries.size());
     for (const member* other : entries) {
-        candidates.push_back({other->incarnation, other->self.endpoint});
+        candidates.push_back({other->incarnation, other->info.endpoint});
     }
     for (const incarnation_id guard : guards_) {
-        if (control_.find(guard)->self.region != settings_.process.region) {
+        if (control_.find(guard)->info.region != settings_.process.region) {
             continue;
         }
         const auto order = rendezvous_order(raw(guard), candidates);
@@ -112,7 +112,7 @@
     std::vector<rendezvous_candidate> candidates;
     candidates.reserve(group_.size());
     for (const incarnation_id id : group_) {
-        candidates.push_back({id, control_.find(id)->self.endpoint});
+        candidates.push_back({id, control_.find(id)->info.endpoint});
     }
     return orders_.emplace(shard, rendezvous_order(raw(shard), candidates)).first->second;
 }
@@ -131,7 +131,7 @@
 
 std::string fleet_view::endpoint_of(incarnation_id incarnation) const {
     const member* known = control_.find(incarnation);
-    return known == nullptr ? std::string() : known->self.endpoint;
+    return known == nullptr ? std::string() : known->info.endpoint;
 }
 
 void fleet_view::heard(instant now, incarnation_id incarnation) {
--- a/src/roles/entry/home_desk.cpp
+++ b/src/roles/entry/home_desk.cpp
@@ -15,29 +15,29 @@
 constexpr microseconds reclaim_retry = seconds(3);
 
 /// After this, a ticket of which nothing was heard is asked for at the guards.
-constexpr microseconds ticket_doubt_after = seconds(30);
+constexpr microseconds confirmation_timeout = seconds(30);
 
 /// How long a shard that this entry does not serve is read after its last use.
 constexpr microseconds unused_shard_kept = seconds(30);
 
 constexpr std::uint32_t unreachable_retry_ms = 5000;
 
-reservation_answer unreachable() {
-    reservation_answer answer;
+reservation_reply unreachable() {
+    reservation_reply answer;
     answer.outcome = reservation_outcome::budget_unreachable;
     answer.retry_after = milliseconds(unreachable_retry_ms);
     return answer;
 }
 
-reservation_ask decode_ask(const wire::ReserveRequest& in) {
-    reservation_ask ask;
+reservation_request decode_ask(const wire::ReserveRequest& in) {
+    reservation_request ask;
     ask.budget = in.budget();
     ask.key = digest{in.key_high(), in.key_low()};
     ask.body = digest{in.body_high(), in.body_low()};
     ask.bound = in.bound();
     ask.repeatable = in.repeatable();
     ask.keyed = in.keyed();
-    ask.wait = milliseconds(in.wait_ms());
+    ask.max_wait = milliseconds(in.wait_ms());
     ask.replaces = ticket_id{in.replaces_ticket()};
     return ask;
 }
@@ -67,18 +67,18 @@
 }
 
 void home_desk::start_home(desk_shard& target) {
-    home_settings settings;
+    allocator_settings settings;
     settings.incarnation = own_;
     settings.endpoint = parts_.bus.endpoint();
     settings.policy = grant_policy_named(settings_.policy, settings_.grants);
-    settings.homes = parts_.fleet.home_count();
-    settings.ticket_doubt_after = ticket_doubt_after;
+    settings.allocator_count = parts_.fleet.home_count();
+    settings.confirmation_timeout = confirmation_timeout;
     target.batch.clear();
     target.replica->set_writer(own_);
     desk_shard* shard = &target;
-    target.home = std::make_unique<budget_home>(
+    target.home = std::make_unique<budget_allocator>(
         settings, target.replica->state(), parts_.random,
-        [shard](std::uint64_t number, const reservation_answer& answer) {
+        [shard](std::uint64_t number, const reservation_reply& answer) {
             auto waiting = shard->parked.extract(number);
             if (!waiting.empty()) {
                 waiting.mapped()(answer);
@@ -128,7 +128,7 @@
     return *shard(index).replica;
 }
 
-void home_desk::reserve(const reservation_ask& ask, answer_hook done) {
+void home_desk::reserve(const reservation_request& ask, answer_hook done) {
     desk_shard& target = shard(shard_of(budget_id_of(ask.budget)));
     if (!target.replica->live()) {
         target.early.push_back({ask, std::move(done), monotonic_now() + early_patience});
@@ -137,12 +137,12 @@
     reserve_at(target, ask, std::move(done));
 }
 
-void home_desk::reserve_at(desk_shard& target, const reservation_ask& ask, answer_hook done) {
+void home_desk::reserve_at(desk_shard& target, const reservation_request& ask, answer_hook done) {
     const instant now = monotonic_now();
-    reservation_ask numbered = ask;
-    numbered.request = next_ask_++;
+    reservation_request numbered = ask;
+    numbered.request_id = next_ask_++;
     const shard_index index = shard_of(budget_id_of(ask.budget));
-    answer_hook told = [this, index, done = std::move(done)](const reservation_answer& answer) {
+    answer_hook told = [this, index, done = std::move(done)](const reservation_reply& answer) {
         parts_.counters.counter(
             labelled("home_reservations_total", {{"outcome", name_of(answer.outcome)}})) += 1;
         if (answer.outcome == reservation_outcome::granted) {
@@ -154,10 +154,10 @@
     target.home->set_control_offset(parts_.control.position());
     target.home->set_draining(draining_);
     // The answer may come while the ask is being made, so the hook is put in place first.
-    target.parked[numbered.request] = told;
-    const std::optional<reservation_answer> answer = target.home->reserve(now, numbered);
+    target.parked[numbered.request_id] = told;
+    const std::optional<reservation_reply> answer = target.home->reserve(now, numbered);
     if (answer) {
-        target.parked.erase(numbered.request);
+        target.parked.erase(numbered.request_id);
         told(*answer);
     }
     pump(now);
@@ -165,7 +165,7 @@
 
 void home_desk::on_reserve(const message_origin& origin, const wire::ReserveRequest& request) {
     const std::uint64_t number = request.request();
-    reserve(decode_ask(request), [this, origin, number](const reservation_answer& answer) {
+    reserve(decode_ask(request), [this, origin, number](const reservation_reply& answer) {
         wire::Envelope message;
         message.set_sender(raw(own_));
         wire::ReserveReply& reply = *message.mutable_reserve_reply();
@@ -182,21 +182,21 @@
     });
 }
 
-budget_home* home_desk::home_with(ticket_id id) {
+budget_allocator* home_desk::home_with(ticket_id id) {
     const auto known = ticket_shards_.find(id);
     return known == ticket_shards_.end() ? nullptr : shards_.at(known->second)->home.get();
 }
 
 void home_desk::started(ticket_id id, incarnation_id guard, const std::string& guard_endpoint) {
-    budget_home* home = home_with(id);
-    if (home != nullptr && !home->started(id, guard, guard_endpoint)) {
+    budget_allocator* home = home_with(id);
+    if (home != nullptr && !home->ticket_started(id, guard, guard_endpoint)) {
         parts_.counters.counter("home_impossible_transitions_total") += 1;
     }
 }
 
 void home_desk::release(ticket_id id) {
-    budget_home* home = home_with(id);
-    if (home != nullptr && !home->release(id)) {
+    budget_allocator* home = home_with(id);
+    if (home != nullptr && !home->release_ticket(id)) {
         parts_.counters.counter("home_impossible_transitions_total") += 1;
     }
     ticket_shards_.erase(id);
@@ -207,16 +207,16 @@
     for (const wire::Charge& item : report.charges()) {
         const charge ended = decode_charge(item, incarnation_id{});
         reporters_[ended.ticket] = origin;
-        shard(shard_of(ended.budget)).home->charge_ended(now, ended);
+        shard(shard_of(ended.budget)).home->charge_reported(now, ended);
     }
 }
 
 void home_desk::on_void_reply(const wire::VoidReply& reply) {
     const incarnation_id guard{reply.guard()};
     for (const std::uint64_t number : reply.voided()) {
-        budget_home* home = home_with(ticket_id{number});
+        budget_allocator* home = home_with(ticket_id{number});
         if (home != nullptr) {
-            home->voided(ticket_id{number}, guard);
+            home->ticket_voided(ticket_id{number}, guard);
         }
     }
     const std::string endpoint = parts_.fleet.endpoint_of(guard);
@@ -227,7 +227,7 @@
 
 void home_desk::on_fence(incarnation_id fenced) {
     const member* known = parts_.control.state().find(fenced);
-    if (known == nullptr || known->self.role != member_role::guard) {
+    if (known == nullptr || known->info.role != member_role::guard) {
         return;
     }
     for (auto& [index, item] : shards_) {
@@ -256,7 +256,7 @@
         }
         const auto* draw = std::get_if<draw_operation>(&operation);
         if (draw != nullptr && draw->need > 0 && batch.writer != own_) {
-            target.home->need_seen(now, draw->budget);
+            target.home->remote_need_changed(now, draw->budget);
         }
     }
     if (own && !target.batch.empty()) {
@@ -387,7 +387,7 @@
 
 void home_desk::ask_for_unclear(desk_shard& target, instant now) {
     const std::vector<incarnation_id>& guards = parts_.fleet.guards();
-    const std::vector<ticket_id> unclear = target.home->take_unclear(now, guards);
+    const std::vector<ticket_id> unclear = target.home->take_unconfirmed(now, guards);
     if (unclear.empty()) {
         return;
     }
@@ -407,7 +407,7 @@
     const ledger_state& ledger = target.replica->state();
     for (const auto& [fenced, fence] : parts_.control.state().fences()) {
         const member* known = parts_.control.state().find(fenced);
-        const bool ready = known != nullptr && known->self.role == member_role::entry &&
+        const bool ready = known != nullptr && known->info.role == member_role::entry &&
                            fence.complete() && !ledger.is_closed(fenced) &&
                            ledger.writers().count(fenced) > 0;
         if (!ready) {
@@ -444,9 +444,10 @@
     });
 }
 
-bool home_desk::cleared_of(incarnation_id guard) const {
-    return std::all_of(shards_.begin(), shards_.end(),
-                       [guard](const auto& item) { return item.second->home->cleared_of(guard); });
+bool home_desk::is_guard_settled(incarnation_id guard) const {
+    return std::all_of(shards_.begin(), shards_.end(), [guard](const auto& item) {
+        return item.second->home->is_guard_settled(guard);
+    });
 }
 
 void home_desk::forget_guard(incarnation_id guard) {
--- a/src/roles/entry/home_desk.hpp
+++ b/src/roles/entry/home_desk.hpp
@@ -37,7 +37,7 @@
 class home_desk {
 public:
     /// Told the answer to an ask.
-    using answer_hook = std::function<void(const reservation_answer&)>;
+    using answer_hook = std::function<void(const reservation_reply&)>;
 
     /// Told what the fold did with an operator's operation.
     using outcome_hook = std::function<void(operation_outcome)>;
@@ -54,7 +54,7 @@
     shard_index shard_of(budget_id budget) const;
 
     /// Reserves for a request of this entry or, through a message, of another one.
-    void reserve(const reservation_ask& ask, answer_hook done);
+    void reserve(const reservation_request& ask, answer_hook done);
 
     /// A guard took a ticket of this entry's.
     void started(ticket_id id, incarnation_id guard, const std::string& guard_endpoint);
@@ -84,7 +84,7 @@
     bool idle() const;
 
     /// True if every home is done with a fenced guard.
-    bool cleared_of(incarnation_id guard) const;
+    bool is_guard_settled(incarnation_id guard) const;
     void forget_guard(incarnation_id guard);
 
     /// True if all shards that this entry should serve are read up to the log's end.
@@ -92,7 +92,7 @@
 
 private:
     struct waiting_ask {
-        reservation_ask ask;
+        reservation_request ask;
         answer_hook done;
         instant until{};
     };
@@ -100,7 +100,7 @@
     /// One shard that this entry serves.
     struct desk_shard {
         std::unique_ptr<ledger_replica> replica;
-        std::unique_ptr<budget_home> home;
+        std::unique_ptr<budget_allocator> home;
         std::vector<ledger_operation> batch;
         instant last_append{};
         /// When somebody last asked for something here.
@@ -118,7 +118,7 @@
     void on_applied(desk_shard& target, const ledger_batch& batch,
                     std::span<const operation_outcome> outcomes, bool own);
     void on_caught_up(desk_shard& target);
-    void reserve_at(desk_shard& target, const reservation_ask& ask, answer_hook done);
+    void reserve_at(desk_shard& target, const reservation_request& ask, answer_hook done);
     void acknowledge(const std::vector<ticket_id>& settled);
     bool keeps_no_state(const desk_shard& target) const;
     void retire_unused(instant now);
@@ -126,7 +126,7 @@
     void reclaim_fenced(desk_shard& target, instant now);
     void note_operator_outcomes(desk_shard& target, const ledger_batch& batch,
                                 std::span<const operation_outcome> outcomes);
-    budget_home* home_with(ticket_id id);
+    budget_allocator* home_with(ticket_id id);
 
     const entry_settings& settings_;
     home_desk_parts parts_;
--- a/src/roles/entry/operator_desk.cpp
+++ b/src/roles/entry/operator_desk.cpp
@@ -182,7 +182,7 @@
     change_set set;
     set.operation = operation;
     set.base_version = current.version();
-    set.guarded = true;
+    set.check_base_version = true;
     bool asked_for_version = false;
     // Later statements of a block build on the earlier ones.
     configuration scratch = current;
@@ -196,7 +196,7 @@
             return;
         }
         asked_for_version = asked_for_version || statement.if_version.has_value();
-        const result<configuration_change> change = change_of(statement, scratch);
+        const result<configuration_change> change = to_configuration_change(statement, scratch);
         if (!change) {
             run->note(statement, "refused", change.error().message);
             run_next(run);
--- a/src/roles/entry/request_flow.cpp
+++ b/src/roles/entry/request_flow.cpp
@@ -70,16 +70,16 @@
     reserve();
 }
 
-reservation_ask request_flow::ask() const {
-    reservation_ask wanted;
-    wanted.request = request_.number;
+reservation_request request_flow::ask() const {
+    reservation_request wanted;
+    wanted.request_id = request_.number;
     wanted.budget = request_.budget;
     wanted.key = request_.key;
     wanted.body = request_.body_digest;
     wanted.bound = request_.bound;
     wanted.repeatable = request_.repeatable;
     wanted.keyed = request_.keyed;
-    wanted.wait = std::min(parts_.settings.token_wait, time_left());
+    wanted.max_wait = std::min(parts_.settings.token_wait, time_left());
     wanted.replaces = replaces_;
     return wanted;
 }
@@ -107,7 +107,7 @@
     ++step_;
     if (home_ == parts_.own) {
         parts_.homes.reserve(ask(), [weak = weak_from_this(), step = step_,
-                                     parts = parts_](const reservation_answer& answer) mutable {
+                                     parts = parts_](const reservation_reply& answer) mutable {
             const auto self = weak.lock();
             const bool wanted = self && self->step_ == step && self->phase_ != flow_phase::ended;
             if (wanted) {
@@ -118,7 +118,7 @@
         });
         return;
     }
-    const reservation_ask wanted = ask();
+    const reservation_request wanted = ask();
     wire::Envelope message;
     message.set_sender(raw(parts_.own));
     wire::ReserveRequest& out = *message.mutable_reserve_request();
@@ -132,11 +132,11 @@
     out.set_bound(wanted.bound);
     out.set_repeatable(wanted.repeatable);
     out.set_keyed(wanted.keyed);
-    out.set_wait_ms(
-        static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(wanted.wait).count()));
+    out.set_wait_ms(static_cast<std::uint32_t>(
+        std::chrono::duration_cast<milliseconds>(wanted.max_wait).count()));
     out.set_replaces_ticket(raw(wanted.replaces));
     parts_.bus.send(parts_.fleet.endpoint_of(home_), message);
-    after(home_patience + wanted.wait, &request_flow::ask_next_home);
+    after(home_patience + wanted.max_wait, &request_flow::ask_next_home);
 }
 
 /// The home did not answer; the next in order is asked.
@@ -160,7 +160,7 @@
         }
         return;
     }
-    reservation_answer answer;
+    reservation_reply answer;
     answer.outcome = decode_outcome(reply.outcome());
     answer.granted = decode_ticket(reply.ticket());
     answer.guard_endpoint = reply.guard_endpoint();
@@ -169,7 +169,7 @@
     on_reservation(answer);
 }
 
-void request_flow::on_reservation(const reservation_answer& answer) {
+void request_flow::on_reservation(const reservation_reply& answer) {
     ++step_;
     switch (answer.outcome) {
         case reservation_outcome::granted:
@@ -195,7 +195,7 @@
     }
 }
 
-void request_flow::go_to_key_holder(const reservation_answer& answer) {
+void request_flow::go_to_key_holder(const reservation_reply& answer) {
     const bool reachable = answer.key_holder != incarnation_id{} &&
                            parts_.fleet.control().is_active(answer.key_holder);
     if (!reachable || key_redirects_ >= most_key_redirects) {
@@ -208,7 +208,7 @@
     reserve_at(answer.key_holder);
 }
 
-void request_flow::refuse_reservation(const reservation_answer& answer) {
+void request_flow::refuse_reservation(const reservation_reply& answer) {
     parts_.events.add(timeline_kind::reservation_refused, name_, {}, {},
                       std::string(name_of(answer.outcome)));
     const std::string code(name_of(answer.outcome));
