--- a/src/roles/entry/request_flow.hpp
+++ b/src/roles/entry/request_flow.hpp
@@ -82,12 +82,12 @@
     flow_phase phase() const { return phase_; }
 
 private:
-    reservation_ask ask() const;
+    reservation_request ask() const;
     void reserve();
     void reserve_at(incarnation_id home);
-    void go_to_key_holder(const reservation_answer& answer);
-    void on_reservation(const reservation_answer& answer);
-    void refuse_reservation(const reservation_answer& answer);
+    void go_to_key_holder(const reservation_reply& answer);
+    void on_reservation(const reservation_reply& answer);
+    void refuse_reservation(const reservation_reply& answer);
     void dispatch();
     void join(const std::string& endpoint, incarnation_id guard);
     void ask_to_void();
--- a/src/roles/entry/show_tables.cpp
+++ b/src/roles/entry/show_tables.cpp
@@ -29,9 +29,9 @@
                       "endpoint", "operator_address", "state"},
                      {}};
     for (const auto& [id, known] : control.members()) {
-        table.rows.push_back({hex_of(id), known.self.role == member_role::entry ? "entry" : "guard",
-                              known.self.host, known.self.region, known.self.failure_domain,
-                              known.self.service, known.self.endpoint, known.self.operator_address,
+        table.rows.push_back({hex_of(id), known.info.role == member_role::entry ? "entry" : "guard",
+                              known.info.host, known.info.region, known.info.failure_domain,
+                              known.info.service, known.info.endpoint, known.info.operator_address,
                               state_of(known)});
     }
     return table;
@@ -42,9 +42,9 @@
     std::map<std::string, std::string> hosts;
     for (const auto& [id, known] : control.members()) {
         if (known.active()) {
-            hosts[known.self.host] = "active";
+            hosts[known.info.host] = "active";
         } else {
-            hosts.try_emplace(known.self.host, "gone");
+            hosts.try_emplace(known.info.host, "gone");
         }
     }
     for (const std::string& host : control.config().drained_hosts()) {
@@ -61,9 +61,9 @@
     for (const auto& [id, fence] : control.fences()) {
         const member* known = control.find(id);
         table.rows.push_back(
-            {hex_of(id), known == nullptr ? "" : known->self.host,
-             std::to_string(raw(fence.offset)), std::to_string(fence.awaited.size()),
-             std::to_string(fence.marked_by.size()), std::to_string(fence.charges.size())});
+            {hex_of(id), known == nullptr ? "" : known->info.host,
+             std::to_string(raw(fence.offset)), std::to_string(fence.pending_acks.size()),
+             std::to_string(fence.acked_by.size()), std::to_string(fence.charges.size())});
     }
     return table;
 }
@@ -99,7 +99,7 @@
         table.rows.push_back({name, std::to_string(budget->limit), std::to_string(budget->billed),
                               std::to_string(budget->burnt), std::to_string(budget->available()),
                               std::to_string(held), std::to_string(in_doubt(*budget, control)),
-                              std::to_string(running), std::to_string(budget->waiting_total()),
+                              std::to_string(running), std::to_string(budget->total_waiting_need()),
                               std::to_string(budget->unbacked)});
     }
     return table;
@@ -113,7 +113,7 @@
                 const member* known = control.find(item.holder);
                 const bool doubt = control.is_fenced(item.holder);
                 table.rows.push_back(
-                    {budget.name, hex_of(item.holder), known == nullptr ? "" : known->self.host,
+                    {budget.name, hex_of(item.holder), known == nullptr ? "" : known->info.host,
                      std::to_string(item.outstanding), doubt ? "in doubt" : "held"});
             }
         }
--- a/src/roles/guard/charge_reporter.cpp
+++ b/src/roles/guard/charge_reporter.cpp
@@ -50,7 +50,7 @@
         return;
     }
     for (const auto& [fenced, fence] : control_.fences()) {
-        const std::string endpoint = fence.awaited.count(own_) == 0 ? "" : any_entry();
+        const std::string endpoint = fence.pending_acks.count(own_) == 0 ? "" : any_entry();
         if (endpoint.empty()) {
             continue;
         }
@@ -79,12 +79,12 @@
     std::vector<const member*> near;
     std::vector<const member*> all;
     for (const auto& [id, other] : control_.members()) {
-        const bool usable = other.active() && other.self.role == member_role::entry;
+        const bool usable = other.active() && other.info.role == member_role::entry;
         if (!usable) {
             continue;
         }
         all.push_back(&other);
-        if (other.self.failure_domain == failure_domain_) {
+        if (other.info.failure_domain == failure_domain_) {
             near.push_back(&other);
         }
     }
@@ -93,7 +93,7 @@
         return {};
     }
     // Another one at each call, so that one that does not answer is not asked forever.
-    return choice[random_.below(choice.size())]->self.endpoint;
+    return choice[random_.below(choice.size())]->info.endpoint;
 }
 
 }  // namespace wrenswitch
--- a/tests/decision/control/control_state_test.cpp
+++ b/tests/decision/control/control_state_test.cpp
@@ -11,20 +11,20 @@
 constexpr incarnation_id guard_one{11};
 constexpr incarnation_id guard_two{12};
 
-/// Two entries and two guards.
+/// A control stream with two entries and two guards registered.
 struct control_fixture {
     control_state control;
     std::uint64_t offset = 0;
     std::unordered_map<incarnation_id, std::uint64_t> sequences;
 
     control_fixture() {
-        join(entry_one, member_role::entry);
-        join(entry_two, member_role::entry);
-        join(guard_one, member_role::guard);
-        join(guard_two, member_role::guard);
+        register_member(entry_one, member_role::entry);
+        register_member(entry_two, member_role::entry);
+        register_member(guard_one, member_role::guard);
+        register_member(guard_two, member_role::guard);
     }
 
-    void join(incarnation_id id, member_role role) {
+    void register_member(incarnation_id id, member_role role) {
         append(id, register_record{registration{role, "h", "r", "d", "", "", ""}});
     }
 
@@ -32,8 +32,8 @@
         return control.apply({writer, ++sequences[writer], kind}, log_offset{++offset});
     }
 
-    void mark(incarnation_id fenced, incarnation_id marker, std::vector<charge> charges = {}) {
-        append(entry_two, marks_record{{{fenced, marker, std::move(charges)}}});
+    void ack(incarnation_id fenced, incarnation_id sender, std::vector<charge> charges = {}) {
+        append(entry_two, fence_acks_record{{{fenced, sender, std::move(charges)}}});
     }
 
     bool complete(incarnation_id fenced) const { return control.fences().at(fenced).complete(); }
@@ -48,66 +48,67 @@
 
 BOOST_FIXTURE_TEST_SUITE(control_state_test, control_fixture)
 
-BOOST_AUTO_TEST_CASE(fence_of_an_entry_is_complete_only_with_every_guards_mark) {
+BOOST_AUTO_TEST_CASE(fence_of_an_entry_is_complete_only_after_every_guard_acknowledged) {
     append(entry_two, fence_record{entry_one});
-    mark(entry_one, guard_one);
+    ack(entry_one, guard_one);
     BOOST_TEST(!complete(entry_one));
-    mark(entry_one, guard_two);
+    ack(entry_one, guard_two);
     BOOST_TEST(complete(entry_one));
 }
 
 BOOST_AUTO_TEST_CASE(fence_does_not_wait_for_a_guard_that_registered_later) {
     append(entry_two, fence_record{entry_one});
-    join(incarnation_id{13}, member_role::guard);
-    mark(entry_one, guard_one);
-    mark(entry_one, guard_two);
+    register_member(incarnation_id{13}, member_role::guard);
+    ack(entry_one, guard_one);
+    ack(entry_one, guard_two);
     BOOST_TEST(complete(entry_one));
 }
 
-BOOST_AUTO_TEST_CASE(fence_takes_a_closed_guards_last_record_as_its_mark) {
+BOOST_AUTO_TEST_CASE(fence_counts_a_closed_guard_as_acknowledged) {
     append(guard_one, close_record{});
     append(entry_two, fence_record{entry_one});
     append(guard_two, close_record{});
     BOOST_TEST(complete(entry_one));
 }
 
-BOOST_AUTO_TEST_CASE(fence_waits_for_a_dead_guard_whose_fence_the_entry_had_not_marked) {
+BOOST_AUTO_TEST_CASE(fence_waits_for_a_fenced_guard_whose_fence_the_entry_had_not_acknowledged) {
     append(entry_two, fence_record{guard_one});
     append(entry_two, fence_record{entry_one});
-    mark(entry_one, guard_two);
+    ack(entry_one, guard_two);
     BOOST_TEST(!complete(entry_one));
 }
 
-BOOST_AUTO_TEST_CASE(fence_does_not_wait_for_a_dead_guard_whose_fence_the_entry_had_marked) {
+BOOST_AUTO_TEST_CASE(
+    fence_does_not_wait_for_a_fenced_guard_whose_fence_the_entry_had_acknowledged) {
     append(entry_two, fence_record{guard_one});
-    append(entry_one, marks_record{{{guard_one, entry_one, {}}}});
+    append(entry_one, fence_acks_record{{{guard_one, entry_one, {}}}});
     append(entry_two, fence_record{entry_one});
-    mark(entry_one, guard_two);
+    ack(entry_one, guard_two);
     BOOST_TEST(complete(entry_one));
 }
 
-BOOST_AUTO_TEST_CASE(fence_does_not_wait_for_a_guard_that_was_fenced_before_the_entry_came) {
+BOOST_AUTO_TEST_CASE(fence_does_not_wait_for_a_guard_that_was_fenced_before_the_entry_registered) {
     append(entry_two, fence_record{guard_one});
     const incarnation_id later{3};
-    join(later, member_role::entry);
+    register_member(later, member_role::entry);
     append(entry_two, fence_record{later});
-    mark(later, guard_two);
+    ack(later, guard_two);
     BOOST_TEST(complete(later));
 }
 
-BOOST_AUTO_TEST_CASE(mark_repeated_adds_its_charges_once) {
+BOOST_AUTO_TEST_CASE(ack_repeated_adds_its_charges_once) {
     append(entry_two, fence_record{entry_one});
     const charge listed{budget_id{1}, entry_one, digest{0, 1}, ticket_id{1}, 5, false};
-    mark(entry_one, guard_one, {listed});
-    mark(entry_one, guard_one, {listed});
+    ack(entry_one, guard_one, {listed});
+    ack(entry_one, guard_one, {listed});
     BOOST_TEST(control.fences().at(entry_one).charges.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(members_that_are_gone_are_forgotten_but_never_active_ones_or_fenced_guards) {
+BOOST_AUTO_TEST_CASE(members_beyond_the_limit_are_evicted_except_active_ones_and_fenced_guards) {
     append(entry_two, fence_record{guard_one});
     for (std::uint64_t number = 100; number < 10'100; ++number) {
         const incarnation_id id{number};
-        join(id, member_role::entry);
+        register_member(id, member_role::entry);
         append(id, close_record{});
     }
     BOOST_TEST(control.members().size() < 4000U);
@@ -117,12 +118,12 @@
     BOOST_TEST(!control.is_active(incarnation_id{100}));
 }
 
-BOOST_AUTO_TEST_CASE(fence_that_is_complete_takes_little_room) {
+BOOST_AUTO_TEST_CASE(fence_when_complete_drops_its_acknowledgements) {
     append(entry_two, fence_record{entry_one});
-    mark(entry_one, guard_one);
-    mark(entry_one, guard_two);
-    BOOST_TEST(control.fences().at(entry_one).marked_by.empty());
-    BOOST_TEST(!control.wants_mark(entry_one, guard_one));
+    ack(entry_one, guard_one);
+    ack(entry_one, guard_two);
+    BOOST_TEST(control.fences().at(entry_one).acked_by.empty());
+    BOOST_TEST(!control.wants_ack(entry_one, guard_one));
 }
 
 BOOST_AUTO_TEST_CASE(fence_repeated_keeps_its_first_offset) {
@@ -132,7 +133,7 @@
     BOOST_TEST((control.find(entry_one)->fenced_at == first));
 }
 
-BOOST_AUTO_TEST_CASE(change_on_an_older_version_is_refused_and_the_version_never_falls) {
+BOOST_AUTO_TEST_CASE(change_based_on_an_older_version_is_refused_and_keeps_the_version) {
     BOOST_TEST((append(entry_one, put_account(1, 0)).outcome == change_outcome::accepted));
     BOOST_TEST((append(entry_two, put_account(2, 0)).outcome == change_outcome::refused_conflict));
     BOOST_TEST(control.config().version() == 1U);
@@ -144,7 +145,7 @@
     BOOST_TEST(control.config().version() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(change_set_with_one_bad_change_leaves_no_trace) {
+BOOST_AUTO_TEST_CASE(change_set_with_one_invalid_change_is_not_applied) {
     change_set set = put_account(1, 0);
     set.changes.push_back(remove_service{"unknown"});
     BOOST_TEST((append(entry_one, set).outcome == change_outcome::refused_unknown_name));
@@ -159,7 +160,7 @@
     BOOST_TEST((append(entry_one, second).outcome == change_outcome::refused_bad_value));
 }
 
-BOOST_AUTO_TEST_CASE(record_read_twice_is_applied_once) {
+BOOST_AUTO_TEST_CASE(record_repeated_is_applied_once) {
     const control_record record{entry_one, ++sequences[entry_one], put_account(1, 0)};
     BOOST_TEST(control.apply(record, log_offset{++offset}).applied);
     BOOST_TEST(!control.apply(record, log_offset{++offset}).applied);
--- a/tests/decision/language/command_parser_test.cpp
+++ b/tests/decision/language/command_parser_test.cpp
@@ -11,7 +11,7 @@
 struct language_fixture {
     findings problems;
 
-    std::vector<command> read(std::string_view script) {
+    std::vector<command> parse(std::string_view script) {
         std::vector<command> commands = parse_commands(script, problems);
         check_commands(commands, problems);
         return commands;
@@ -22,8 +22,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(command_parser_test, language_fixture)
 
-BOOST_AUTO_TEST_CASE(create_with_quotes_and_comments_is_read) {
-    const auto commands = read(
+BOOST_AUTO_TEST_CASE(create_with_quotes_and_comments_is_parsed) {
+    const auto commands = parse(
         "-- accounts\ncreate client_account \"a b\" key = \"x;y\\\"z\" "
         "budget = b1 if version = 7; -- end");
     BOOST_TEST(problems.to_text() == "");
@@ -34,8 +34,8 @@
     BOOST_TEST(commands[0].place == "line 2, column 1");
 }
 
-BOOST_AUTO_TEST_CASE(show_with_all_clauses_is_read) {
-    const auto commands = read(
+BOOST_AUTO_TEST_CASE(show_with_all_clauses_is_parsed) {
+    const auto commands = parse(
         "show budget where billed > 5 and name != x columns name, billed order by billed desc "
         "limit 3");
     BOOST_TEST(problems.to_text() == "");
@@ -45,8 +45,8 @@
     BOOST_TEST(commands[0].limit.value() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(script_with_several_mistakes_gets_all_findings_with_their_places) {
-    read("crate budget x;\nshow budget limit many;\ncreate budget b limit = 0;\nremove budget b");
+BOOST_AUTO_TEST_CASE(script_with_several_errors_gets_a_finding_for_each) {
+    parse("crate budget x;\nshow budget limit many;\ncreate budget b limit = 0;\nremove budget b");
     BOOST_REQUIRE(problems.items().size() == 4U);
     BOOST_TEST(problems.items()[0].place == "line 1, column 1");
     BOOST_TEST(problems.items()[0].found == "\"crate\"");
@@ -56,28 +56,28 @@
     BOOST_TEST(problems.items()[3].allowed == "client_account or service");
 }
 
-BOOST_AUTO_TEST_CASE(unknown_attribute_is_a_finding_that_names_the_known_ones) {
-    read("create service s kind = model speed = 3");
+BOOST_AUTO_TEST_CASE(unknown_attribute_gets_a_finding_with_the_known_ones) {
+    parse("create service s kind = model speed = 3");
     BOOST_REQUIRE(problems.items().size() == 1U);
     BOOST_TEST(problems.items()[0].allowed == "one of kind tokens_per_call repeatable concurrency");
 }
 
-BOOST_AUTO_TEST_CASE(block_with_a_budget_in_it_is_refused) {
-    read("begin; create budget b limit = 5; commit");
+BOOST_AUTO_TEST_CASE(block_with_a_budget_statement_is_refused) {
+    parse("begin; create budget b limit = 5; commit");
     BOOST_REQUIRE(problems.items().size() == 1U);
     BOOST_TEST(problems.items()[0].found == "create budget");
 }
 
-BOOST_AUTO_TEST_CASE(block_without_an_end_is_refused) {
-    read("begin; drain host h");
+BOOST_AUTO_TEST_CASE(block_without_commit_is_refused) {
+    parse("begin; drain host h");
     BOOST_TEST(problems.items().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(text_of_no_sense_is_refused_and_never_taken) {
+BOOST_AUTO_TEST_CASE(text_that_is_no_statement_is_refused) {
     for (const char* script : {"\"", "create", "show", "begin commit", "dry", "= = =", "\xff\xfe",
                                "show budget where", "create budget b limit = "}) {
         problems = {};
-        read(script);
+        parse(script);
         BOOST_TEST_CONTEXT(script) {
             BOOST_TEST(!problems.empty());
         }
@@ -89,8 +89,8 @@
     change_set set;
     set.changes = {put_service{service{"s", false, 5, false, 3}}};
     config.apply(set);
-    const auto commands = read("change service s tokens_per_call = 9");
-    const auto change = change_of(commands[0], config);
+    const auto commands = parse("change service s tokens_per_call = 9");
+    const auto change = to_configuration_change(commands[0], config);
     BOOST_REQUIRE(change.has_value());
     const service& changed = std::get<put_service>(change.value()).value;
     BOOST_TEST(changed.tokens_per_call == 9);
@@ -98,15 +98,15 @@
     BOOST_TEST(changed.concurrency == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(create_of_what_exists_and_change_of_what_does_not_are_refused) {
+BOOST_AUTO_TEST_CASE(create_of_an_existing_and_change_of_a_missing_service_are_refused) {
     configuration config;
-    const auto commands = read("change service s kind = model");
-    BOOST_TEST(!change_of(commands[0], config).has_value());
+    const auto commands = parse("change service s kind = model");
+    BOOST_TEST(!to_configuration_change(commands[0], config).has_value());
     change_set set;
     set.changes = {put_service{service{"s", true, 0, true, 0}}};
     config.apply(set);
-    const auto created = read("create service s kind = model");
-    BOOST_TEST(!change_of(created[0], config).has_value());
+    const auto created = parse("create service s kind = model");
+    BOOST_TEST(!to_configuration_change(created[0], config).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/ledger/ledger_property_test.cpp
+++ b/tests/decision/ledger/ledger_property_test.cpp
@@ -9,11 +9,11 @@
 
 using namespace wrenswitch;
 
-constexpr std::size_t writers = 4;
-constexpr std::size_t batches = 120;
-constexpr std::size_t seeds = 60;
+constexpr std::size_t writer_count = 4;
+constexpr std::size_t batch_count = 120;
+constexpr std::size_t seed_count = 60;
 
-/// Makes random streams of batches, mostly sensible ones, with some that must be refused.
+/// Generates random streams of batches with mostly valid operations and some that must be refused.
 struct stream_fixture {
     std::vector<std::string> names{"a", "b", "c"};
 
@@ -36,7 +36,7 @@
                                            ticket_id{1 + random.below(500)}};
             case 5:
                 if (random.below(10) == 0) {
-                    return reclaim_operation{incarnation_id{1 + random.below(writers)}, {}};
+                    return reclaim_operation{incarnation_id{1 + random.below(writer_count)}, {}};
                 }
                 [[fallthrough]];
             default:
@@ -47,9 +47,9 @@
 
     std::vector<ledger_batch> random_stream(random_source& random) const {
         std::vector<ledger_batch> stream;
-        std::vector<std::uint64_t> sequences(writers + 1, 0);
-        for (std::size_t index = 0; index < batches; ++index) {
-            const std::uint64_t number = 1 + random.below(writers);
+        std::vector<std::uint64_t> sequences(writer_count + 1, 0);
+        for (std::size_t index = 0; index < batch_count; ++index) {
+            const std::uint64_t number = 1 + random.below(writer_count);
             const incarnation_id writer{number};
             ledger_batch batch{writer, ++sequences[number], {}};
             const std::uint64_t count = 1 + random.below(4);
@@ -61,7 +61,7 @@
         return stream;
     }
 
-    static ledger_state fold(const std::vector<ledger_batch>& stream) {
+    static ledger_state apply_all(const std::vector<ledger_batch>& stream) {
         ledger_state ledger(50);
         for (const ledger_batch& batch : stream) {
             ledger.apply(batch);
@@ -74,31 +74,31 @@
 
 BOOST_FIXTURE_TEST_SUITE(ledger_property_test, stream_fixture)
 
-BOOST_AUTO_TEST_CASE(fold_with_second_copies_anywhere_later_equals_the_fold_without) {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+BOOST_AUTO_TEST_CASE(state_with_duplicates_equals_the_state_without) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
         random_source random(seed);
         const std::vector<ledger_batch> stream = random_stream(random);
-        std::vector<ledger_batch> with_copies;
+        std::vector<ledger_batch> with_duplicates;
         for (const ledger_batch& batch : stream) {
-            with_copies.push_back(batch);
+            with_duplicates.push_back(batch);
             if (random.below(2) == 0) {
-                with_copies.push_back(with_copies[random.below(with_copies.size())]);
+                with_duplicates.push_back(with_duplicates[random.below(with_duplicates.size())]);
             }
         }
         BOOST_TEST_CONTEXT("seed " << seed) {
-            BOOST_TEST((fold(stream) == fold(with_copies)));
+            BOOST_TEST((apply_all(stream) == apply_all(with_duplicates)));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(fold_of_any_stream_never_draws_beyond_a_limit) {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+BOOST_AUTO_TEST_CASE(state_of_any_stream_never_exceeds_a_limit_by_draws) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
         random_source random(seed);
         ledger_state ledger(50);
         for (const ledger_batch& batch : random_stream(random)) {
             ledger.apply(batch);
             for (const auto& [id, budget] : ledger.budgets()) {
-                // Only a charge that no grant covers can go beyond the limit, and it is shown.
+                // Only charges beyond the grants can exceed the limit, and these count as unbacked.
                 BOOST_REQUIRE_GE(budget.available() + budget.unbacked, 0);
                 for (const holding& item : budget.holdings) {
                     BOOST_REQUIRE_GT(item.outstanding, 0);
@@ -108,23 +108,23 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(fold_with_batches_cut_apart_accepts_the_same_operations) {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+BOOST_AUTO_TEST_CASE(state_with_batches_split_has_the_same_outcomes) {
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
         random_source random(seed);
         const std::vector<ledger_batch> stream = random_stream(random);
         ledger_state whole(50);
-        ledger_state cut(50);
+        ledger_state split(50);
         std::unordered_map<incarnation_id, std::uint64_t> sequences;
         for (const ledger_batch& batch : stream) {
-            const std::vector<operation_outcome> together = whole.apply(batch);
-            std::vector<operation_outcome> apart;
+            const std::vector<operation_outcome> whole_outcomes = whole.apply(batch);
+            std::vector<operation_outcome> split_outcomes;
             for (const ledger_operation& operation : batch.operations) {
                 const ledger_batch single{batch.writer, ++sequences[batch.writer], {operation}};
-                apart.push_back(cut.apply(single).front());
+                split_outcomes.push_back(split.apply(single).front());
             }
-            BOOST_TEST((together == apart));
+            BOOST_TEST((whole_outcomes == split_outcomes));
         }
-        BOOST_TEST((whole.budgets() == cut.budgets()));
+        BOOST_TEST((whole.budgets() == split.budgets()));
     }
 }
 
--- a/tests/drivers/codec_test.cpp
+++ b/tests/drivers/codec_test.cpp
@@ -20,7 +20,7 @@
          draw_operation{budget_id_of("b"), 500, 100}, settle_operation{spent},
          return_operation{budget_id_of("b"), 10}, claim_key_operation{digest{3, 4}, ticket_id{8}},
          reclaim_operation{incarnation_id{6}, {spent}}, close_holder_operation{},
-         hold_keys_operation{}, release_keys_operation{}}};
+         lock_keys_operation{}, unlock_keys_operation{}}};
 };
 
 }  // namespace
@@ -103,7 +103,8 @@
                  register_record{registration{member_role::entry, "e", "r", "d", "t", "", ""}}},
                 log_offset{2});
     state.apply({writer, 2, fence_record{incarnation_id{6}}}, log_offset{3});
-    state.apply({writer, 3, marks_record{{{incarnation_id{6}, writer, {spent}}}}}, log_offset{4});
+    state.apply({writer, 3, fence_acks_record{{{incarnation_id{6}, writer, {spent}}}}},
+                log_offset{4});
     change_set set{
         operation_id{4},
         0,
--- a/tests/roles/placement_exchange_test.cpp
+++ b/tests/roles/placement_exchange_test.cpp
@@ -23,7 +23,7 @@
           region(std::move(stands_in)),
           engines_by_region(has_engines_by_region),
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
-          members(host, home_settings(region)),
+          members(host, allocator_settings(region)),
           exchange(loop, *bus, targets, keepers, desk, counters,
                    {[this](const std::string&) { return knows_engines ? &engine : nullptr; },
                     [this](const std::string& keeper, bool others_answered) {
@@ -79,7 +79,7 @@
         }
     }
 
-    static token_home_settings home_settings(const std::string& region) {
+    static token_home_settings allocator_settings(const std::string& region) {
         token_home_settings settings;
         settings.own_region = region;
         return settings;
--- a/tests/roles/token_exchange_test.cpp
+++ b/tests/roles/token_exchange_test.cpp
@@ -25,7 +25,7 @@
         : host("h" + std::to_string(number)),
           region(std::move(stands_in)),
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
-          homes(host, home_settings(region)),
+          homes(host, allocator_settings(region)),
           grants(host, incarnation_id(static_cast<std::uint64_t>(number)), {}, shared),
           waiters(grants),
           exchange(loop, *bus, homes, grants, waiters, counters, quick_settings(),
@@ -66,7 +66,7 @@
         waiters.serve(monotonic_now());
     }
 
-    static token_home_settings home_settings(const std::string& region) {
+    static token_home_settings allocator_settings(const std::string& region) {
         token_home_settings settings;
         settings.own_region = region;
         settings.far_round_trip = milliseconds(500);
