--- a/include/wrenswitch/decision/gateway/admission.hpp
+++ b/include/wrenswitch/decision/gateway/admission.hpp
@@ -21,7 +21,7 @@
     /// From 0, the most urgent, to 9. The account's priority takes precedence over the route's.
     unsigned priority = 0;
     /// Set if the targets of the service are model engines.
-    std::optional<engine_shape> engine;
+    std::optional<engine_profile> engine;
     /// True if the account pays for the tokens that the request uses.
     bool is_metered = false;
     /// The regions that both the route and the account allow.
--- a/include/wrenswitch/decision/gateway/gateway_configuration.hpp
+++ b/include/wrenswitch/decision/gateway/gateway_configuration.hpp
@@ -83,7 +83,7 @@
     /// The connections that one target accepts from all gateways together.
     std::size_t max_connections = 64;
     /// Set if the targets are model engines.
-    std::optional<engine_shape> engine;
+    std::optional<engine_profile> engine;
     target_warmup warmup;
 };
 
--- a/include/wrenswitch/decision/gateway/region_watch.hpp
+++ b/include/wrenswitch/decision/gateway/region_watch.hpp
@@ -32,7 +32,8 @@
 
     /// Applies the current call counts of all members. Returns the regions whose state changed
     /// since the last update.
-    std::vector<region_status_change> update(instant now, std::span<const member_answers> members);
+    std::vector<region_status_change> update(instant now,
+                                             std::span<const member_call_counts> members);
 
     /// The number of regions that are considered unreachable.
     std::size_t unreachable_count() const;
@@ -53,7 +54,7 @@
         bool unreachable = false;
     };
 
-    void apply_counts(instant now, const member_answers& member);
+    void apply_counts(instant now, const member_call_counts& member);
 
     std::string own_region_;
     std::map<std::string, counts, std::less<>> last_counts_;
--- a/include/wrenswitch/decision/gateway/target_pool.hpp
+++ b/include/wrenswitch/decision/gateway/target_pool.hpp
@@ -103,7 +103,7 @@
     /// memory covers them.
     tokens uncached_tokens = 0;
     /// The estimated cost that an engine was chosen by.
-    placement_price price;
+    placement_cost price;
     /// How long the request has to wait before it is sent, because the target is cold.
     microseconds wait{};
     /// True if no target was found only because the remaining ones are cold and have no permit in
@@ -380,12 +380,12 @@
     static void filter_unresponsive(std::vector<target_state*>& targets, bool repeatable);
     bool is_in_other_region(const target_state& state) const;
     std::string_view copy_scope_of(const target_state& state) const;
-    bool justifies_remote_region(std::string_view service, const prompt_shape& shape) const;
+    bool justifies_remote_region(std::string_view service, const prompt_profile& shape) const;
     void prefer_own_region(std::vector<target_state*>& targets) const;
     double occupancy(const target_state& state, instant now) const;
     double direct_cost(const target_state& state, instant now) const;
-    std::vector<engine_source> copy_sources(instant now, std::string_view service,
-                                            const allowed_regions& regions) const;
+    std::vector<copy_source> copy_sources(instant now, std::string_view service,
+                                          const allowed_regions& regions) const;
 
     target_pool_settings settings_;
     bool has_multiple_regions_;
--- a/include/wrenswitch/decision/grants/grant_holder.hpp
+++ b/include/wrenswitch/decision/grants/grant_holder.hpp
@@ -14,160 +14,163 @@
 
 namespace wrenswitch {
 
-/// How much a process draws ahead of need.
+/// Controls how many tokens a host draws ahead of demand.
 struct grant_policy_settings {
-    /// How long the tokens in hand should last at the present demand.
+    /// The time that the free tokens should last at the current demand.
     microseconds horizon = milliseconds(500);
-    /// The part of what is left of a budget that a host may hold unspent. It is what a
-    /// loss of every process at once can make unusable.
-    double held_share = 0.03;
-    /// The same, while appends take so long that far more has to be drawn at once.
-    double most_held_share = 0.2;
-    /// Appends that the tokens in hand should outlast.
-    double append_times_ahead = 6.0;
-    /// How long the estimate of demand remembers.
-    microseconds demand_memory = seconds(3);
-    /// Drawn before any demand was seen, so that a first request need not wait.
-    tokens first_draw = 600;
-    /// A surplus must last this long before it is given back.
-    microseconds surplus_patience = seconds(4);
+    /// The share of the remaining budget that a host may hold unspent. It bounds what becomes
+    /// unusable if all processes are lost at once.
+    double max_held_share = 0.03;
+    /// The upper bound of this share when slow appends require larger draws.
+    double max_held_share_high_latency = 0.2;
+    /// Free tokens should last for this many appends at the current append latency.
+    double append_latency_multiple = 6.0;
+    /// The time constant of the exponentially decaying demand average.
+    microseconds demand_time_constant = seconds(3);
+    /// The amount drawn before any demand is observed, so that a first request need not wait.
+    tokens initial_draw = 600;
+    /// A surplus is returned only after it has lasted this long.
+    microseconds surplus_return_delay = seconds(4);
 };
 
-/// What became of a wish to spend.
+/// The result of a reservation.
 enum class reserve_outcome {
     reserved,
-    /// Not now: the tokens in hand don't suffice, and the budget may still hold enough.
+    /// Too few free tokens at present; the budget may still hold enough.
     short_of_tokens,
-    /// Never, unless the budget is raised: what is left can't hold the amount.
+    /// The remaining budget cannot cover the amount unless its limit is raised.
     exhausted,
 };
 
-/// The name of an outcome as logs show it.
+/// The outcome's name in log lines.
 std::string_view name_of(reserve_outcome outcome);
 
-/// One process's hold on the prepaid budgets: it spends only what the grant table says it was
-/// granted or what other processes gave it of theirs, so it needs no clock and no connection to
-/// stay within every budget. Tokens that were given away count as spent by the giver: the ledger
-/// need not know who uses them.
+/// Tracks the tokens of prepaid budgets that this process may spend. It spends only what the grant
+/// table shows as granted to it and what other processes transferred to it, so it stays within
+/// every budget without a clock or a connection. Transferred tokens count as spent by the sender,
+/// so the ledger does not need to know who uses them.
 class grant_holder {
 public:
-    /// The table must outlive the holder.
+    /// Keeps a reference to the table, which must outlive the holder.
     grant_holder(std::string host, incarnation_id incarnation, grant_policy_settings policy,
                  const grant_table& table);
 
-    /// Sets an account's budget.
+    /// Sets the limit of an account's budget.
     void set_limit(const std::string& account, tokens limit);
 
-    /// Sets an amount aside, the most that a request can cost.
+    /// Reserves the maximum cost of a request.
     reserve_outcome reserve(instant now, const std::string& account, tokens amount);
 
-    /// Turns a part of what was set aside into spent tokens.
+    /// Turns part of a reservation into spent tokens.
     void spend(instant now, const std::string& account, tokens amount);
 
-    /// Frees a part of what was set aside.
+    /// Frees part of a reservation.
     void release(const std::string& account, tokens amount);
 
-    /// Moves tokens that are set aside to another process, whose they are from then on.
-    void give(instant now, const std::string& account, tokens amount);
+    /// Transfers reserved tokens to another process, which owns them from then on.
+    void transfer_out(instant now, const std::string& account, tokens amount);
 
-    /// Takes in tokens that another process gave away.
-    void receive(const std::string& account, tokens amount);
+    /// Adds tokens that another process transferred here.
+    void transfer_in(const std::string& account, tokens amount);
 
-    /// The accounts of which tokens are free here.
-    std::vector<std::string> accounts_with_free() const;
+    /// The accounts that have free tokens here.
+    std::vector<std::string> accounts_with_free_tokens() const;
 
-    /// Takes all that is free out, to be moved to another process.
-    tokens take_free(const std::string& account);
+    /// Removes all free tokens of an account for transfer to another process; returns the amount.
+    tokens withdraw_free(const std::string& account);
 
-    /// Requests wait for this much in all, the first of them for so much; zero if none does.
-    void set_waiting(const std::string& account, tokens amount, tokens first);
+    /// Sets the total amount that waiting requests need and the amount of the first of them; zero
+    /// if none waits.
+    void set_waiting(const std::string& account, tokens total, tokens first_request);
 
-    /// The records to append now at the end of the log that the table was read from. Empty if all
-    /// is as it should be.
-    std::vector<grant_record> compose(instant now);
+    /// Returns the records to append next at the end of the log that the table was read from; empty
+    /// if nothing has to change.
+    std::vector<grant_record> compose_records(instant now);
 
-    /// The end of the log that the last records were composed for is taken, by them or by others'
-    /// records, so that none of them can still be appended.
-    void resolved();
+    /// Call when the log position that the last records were composed for has been filled, by them
+    /// or by another writer, so that none of them can still be appended there.
+    void on_append_resolved();
 
-    /// True if a draw would serve a request that waits: a reason not to wait for the next tick.
-    bool urgent() const;
+    /// True if a draw could serve a waiting request and should not wait for the next tick.
+    bool needs_immediate_draw() const;
 
-    /// How long appends take of late. The longer, the more is drawn at once, and the rarer.
-    void set_append_time(microseconds length) { append_time_ = length; }
+    /// Sets the recent append latency. A higher latency leads to larger and less frequent draws.
+    void set_append_latency(microseconds latency) { append_latency_ = latency; }
 
-    /// Changes how much is drawn ahead from now on.
+    /// Replaces the policy for all later draws and returns.
     void set_policy(const grant_policy_settings& policy) { policy_ = policy; }
 
-    /// Decides for which accounts tokens are drawn ahead of need; else for all.
-    void draw_ahead_if(std::function<bool(const std::string& account)> wanted) {
-        draws_ahead_ = std::move(wanted);
+    /// Limits draws ahead of demand to the accounts for which the filter returns true. Without a
+    /// filter all accounts are included.
+    void set_draw_ahead_filter(std::function<bool(const std::string& account)> filter) {
+        draw_ahead_filter_ = std::move(filter);
     }
 
-    /// Gives back all that is free and draws no more, for a planned stop.
+    /// When draining for a planned stop, returns all free tokens and draws no more.
     void set_draining(bool draining) { draining_ = draining; }
 
-    /// True if nothing is in hand and no record's fate is open.
+    /// True if no returnable tokens are left and no return is pending.
     bool all_returned() const;
 
-    /// What this host's requests of an account need in this time, at the present demand.
-    tokens expected_need(instant now, const std::string& account, microseconds span) const;
+    /// The tokens that this host's requests of an account are expected to need in the interval, at
+    /// the current demand.
+    tokens expected_demand(instant now, const std::string& account, microseconds interval) const;
 
-    /// The tokens in hand that nothing is set aside for.
-    tokens free(const std::string& account) const;
+    /// The tokens held here that are not reserved.
+    tokens free_tokens(const std::string& account) const;
 
-    /// What no host was granted yet.
-    tokens available(const std::string& account) const;
+    /// The part of the budget that is not granted to any host.
+    tokens ungranted(const std::string& account) const;
 
-    /// An account's budget, or zero.
+    /// The limit of an account's budget, or zero if the account is unknown.
     tokens limit(const std::string& account) const;
 
-    /// What is set aside for requests.
+    /// The tokens reserved for requests.
     tokens reserved(const std::string& account) const;
 
-    /// The most that may be left of a budget: its limit less what is spent for certain.
-    tokens left_at_most(const std::string& account) const;
+    /// An upper bound of the remaining budget: its limit less all spending known so far.
+    tokens max_remaining(const std::string& account) const;
 
 private:
     struct account_state {
         tokens limit = 0;
         tokens reserved = 0;
-        /// By this process.
+        /// Spent by this process.
         tokens spent = 0;
-        /// Moved here by other processes, less what was moved to them.
-        tokens received = 0;
+        /// Transferred in from other processes, less what was transferred out.
+        tokens net_received = 0;
         tokens waiting = 0;
         tokens first_waiting = 0;
-        /// Given back by a record whose fate isn't known yet; not to be spent.
-        tokens returning = 0;
+        /// Returned by a record whose append is not resolved yet; must not be spent.
+        tokens pending_return = 0;
         double demand_per_second = 0.0;
-        instant demand_at{};
-        /// When demand was first seen: until then the average knows nothing.
-        instant demand_since{};
-        /// Since when there was more in hand than wanted, if there is.
+        instant demand_updated_at{};
+        /// The time of the first demand; the average covers only the time since then.
+        instant demand_started_at{};
+        /// Since when the balance has exceeded the desired amount, if it does.
         std::optional<instant> surplus_since;
     };
 
     grant_key key_of(const std::string& account) const { return {account, host_}; }
     tokens granted_here(const std::string& account) const;
-    tokens free(const std::string& account, const account_state& state) const;
+    tokens free_tokens(const std::string& account, const account_state& state) const;
     tokens returnable(const std::string& account, const account_state& state) const;
-    static tokens spent_of_grants(const account_state& state);
-    void note_demand(instant now, account_state& state, tokens amount) const;
+    static tokens net_spent(const account_state& state);
+    void record_demand(instant now, account_state& state, tokens amount) const;
     double demand_rate(instant now, const account_state& state) const;
-    grant next_grant(const std::string& account, const account_state& state, const grant& present,
+    grant next_grant(const std::string& account, const account_state& state, const grant& current,
                      tokens change) const;
-    bool others_wait_for(const std::string& account) const;
-    bool is_news(const grant& present, tokens wanted) const;
-    microseconds horizon() const;
-    double held_share() const;
-    tokens wanted_in_hand(instant now, const std::string& account,
-                          const account_state& state) const;
-    bool can_serve_first(const std::string& account, const account_state& state) const;
-    bool is_low(instant now, const std::string& account, const account_state& state) const;
-    tokens change_for(instant now, const std::string& account, account_state& state,
-                      bool draws) const;
-    tokens surplus_change(instant now, account_state& state, tokens surplus, bool at_once) const;
+    bool others_need_more(const std::string& account) const;
+    bool is_significant_change(const grant& current, tokens wanted) const;
+    microseconds effective_horizon() const;
+    double effective_held_share() const;
+    tokens desired_free_tokens(instant now, const std::string& account,
+                               const account_state& state) const;
+    bool can_serve_first_waiting(const std::string& account, const account_state& state) const;
+    bool needs_draw(instant now, const std::string& account, const account_state& state) const;
+    tokens planned_change(instant now, const std::string& account, account_state& state,
+                          bool draw_due) const;
+    tokens surplus_return(instant now, account_state& state, tokens surplus, bool immediate) const;
 
     std::string host_;
     incarnation_id incarnation_;
@@ -175,8 +178,8 @@
     const grant_table& table_;
     std::map<std::string, account_state> accounts_;
     bool draining_ = false;
-    std::function<bool(const std::string& account)> draws_ahead_;
-    microseconds append_time_{};
+    std::function<bool(const std::string& account)> draw_ahead_filter_;
+    microseconds append_latency_{};
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/grants/grant_table.hpp
+++ b/include/wrenswitch/decision/grants/grant_table.hpp
@@ -12,7 +12,7 @@
 
 namespace wrenswitch {
 
-/// Whose tokens: one client account's, in the hands of one host.
+/// Identifies a grant: one client account's tokens at one host.
 struct grant_key {
     std::string account;
     std::string host;
@@ -23,25 +23,26 @@
     }
 };
 
-/// What one host was granted of one account's budget, over all lives of its process. Each record
-/// holds the whole, so that the newest one of a key is all that has to last.
+/// The tokens of one account that a host was granted, accumulated over all processes that ran on
+/// the host. Each record holds the complete state, so only the newest record of a key has to be
+/// retained.
 struct grant {
-    /// The process that wrote this.
+    /// The process that wrote the record.
     incarnation_id holder{};
-    /// What the host had been granted when this process began. All of it counts as spent, since
-    /// nobody can tell how much of it an earlier process used.
+    /// The amount granted to the host before this process started. All of it counts as spent, since
+    /// it is unknown how much of it earlier processes used.
     tokens base = 0;
-    /// All that the host was granted less what it gave back, with the base.
+    /// The total granted to the host less its returns, including the base.
     tokens granted = 0;
-    /// What is spent for certain, with the base.
+    /// The amount known to be spent, including the base.
     tokens spent = 0;
-    /// What the process would draw if there were enough.
+    /// The additional amount that the process would draw if the budget had enough.
     tokens wanted = 0;
 
     friend bool operator==(const grant&, const grant&) = default;
 };
 
-/// A grant with its key, as it stands in the log.
+/// A grant with its key, as stored in the log.
 struct grant_record {
     grant_key key;
     grant value;
@@ -49,33 +50,33 @@
     friend bool operator==(const grant_record&, const grant_record&) = default;
 };
 
-/// All grants, as the log holds them. A record is only ever appended at the end of a log that its
-/// writer has read whole, so each one that is there was within the budget when it was written, and
-/// the newest of each key are the state. spec/grants.pml models this.
+/// The grants of all hosts, as recorded in the log. A record is only appended at the end of a log
+/// that its writer has read completely, so each record was within the budget when it was written,
+/// and the newest record of each key is the current state. Modelled in spec/grants.pml.
 class grant_table {
 public:
-    /// Takes in the newest record of a key.
+    /// Replaces a key's grant by a newer record.
     void apply(const grant_record& record);
 
-    /// A key is no longer there.
+    /// Removes a key that was deleted from the log.
     void remove(const grant_key& key);
 
-    /// The grant of a key, or one of zero.
+    /// The grant of a key, or an empty one.
     grant find(const grant_key& key) const;
 
-    /// What all hosts together were granted of an account, less what they gave back.
+    /// The total granted to all hosts of an account, less their returns.
     tokens granted(std::string_view account) const;
 
-    /// What is spent of an account for certain; the rest of what is granted may be unspent.
+    /// The total known to be spent of an account. Granted tokens beyond it may be unspent.
     tokens spent(std::string_view account) const;
 
-    /// What hosts other than this one would draw of an account if there were enough.
+    /// The total that hosts other than this one would draw of an account if the budget had enough.
     tokens wanted_by_others(std::string_view account, std::string_view host) const;
 
-    /// The most hosts that have a grant of one account.
+    /// The largest number of hosts that have a grant of the same account.
     std::size_t hosts() const;
 
-    /// How many hosts have a grant of an account.
+    /// The number of hosts that have a grant of an account.
     std::size_t hosts(std::string_view account) const;
 
     const std::map<grant_key, grant>& grants() const { return grants_; }
--- a/include/wrenswitch/decision/grants/peer_distances.hpp
+++ b/include/wrenswitch/decision/grants/peer_distances.hpp
@@ -8,31 +8,32 @@
 
 namespace wrenswitch {
 
-/// How far the other entries are. Those of other regions take some time to answer whatever they
-/// do; it is learnt from their answers, so that nobody is taken for lost by being far. Within one
-/// region, and where regions aren't known, the way counts as nothing.
-class peer_distances {
+/// Estimates the round trip time to entries of other regions from the time that they take to
+/// answer, so that timeouts can allow for the distance. The round trip is taken as zero within one
+/// region and where a region is unknown.
+class peer_round_trips {
 public:
-    /// An empty region is one that isn't known. The start is what the way to another region and
-    /// back is taken for until an answer came from there.
-    peer_distances(std::string own_region, microseconds start);
+    /// An empty region means that it is unknown. `initial` is the estimate for another region until
+    /// a host there has answered.
+    peer_round_trips(std::string own_region, microseconds initial);
 
-    /// True if the region is known to be another one than this entry's.
-    bool is_far(std::string_view region) const;
+    /// True if both regions are known and differ.
+    bool is_remote(std::string_view region) const;
 
-    /// The way to a host and back; zero if its region is this entry's.
+    /// The estimated round trip time to a host; zero if its region is not remote.
     microseconds round_trip(std::string_view host, std::string_view region) const;
 
-    /// A host answered after this time. Hosts of this entry's region teach nothing.
-    void observe(std::string_view host, std::string_view region, microseconds took);
+    /// Updates the estimate with the time that a host took to answer. Ignored for hosts whose
+    /// region is not remote.
+    void observe(std::string_view host, std::string_view region, microseconds elapsed);
 
-    /// The host has left.
-    void forget(std::string_view host);
+    /// Discards the estimate of a host that left.
+    void remove(std::string_view host);
 
 private:
     std::string own_region_;
-    microseconds start_;
-    std::map<std::string, microseconds, std::less<>> learnt_;
+    microseconds initial_;
+    std::map<std::string, microseconds, std::less<>> measured_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/grants/token_homes.hpp
+++ b/include/wrenswitch/decision/grants/token_homes.hpp
@@ -16,143 +16,152 @@
 
 namespace wrenswitch {
 
-/// One entry process as the directory of members gives it.
-struct ledger_member {
+/// An entry process as listed in the member directory.
+struct cluster_member {
     std::string host;
     incarnation_id process{};
-    /// Where other entries reach it.
+    /// The address at which other entries reach it.
     std::string endpoint;
-    /// How much it can do, in processor cores; more of the accounts' homes go to the larger ones.
+    /// Its processing capacity in CPU cores. Members with more capacity are more likely to be
+    /// allocators.
     double capacity = 1.0;
     std::string failure_domain;
-    /// Empty if none is known.
+    /// Empty if unknown.
     std::string region;
-    /// What a call to the platform's store took when the process started; zero if that isn't known.
-    microseconds store_call{};
+    /// The duration of a call to the platform's store, measured when the process started; zero if
+    /// unknown.
+    microseconds store_latency{};
 
-    friend bool operator==(const ledger_member&, const ledger_member&) = default;
+    friend bool operator==(const cluster_member&, const cluster_member&) = default;
 };
 
-/// Settings of the choice of homes.
-struct token_home_settings {
-    /// How many hosts are homes. Few, so that appends to the ledger seldom meet; more than one, so
-    /// that no host answers for all accounts.
-    std::size_t most_homes = 6;
-    /// How long a home that didn't answer is passed over, at first and at the most.
-    microseconds first_rest = seconds(1);
-    microseconds longest_rest = seconds(8);
-    /// Where this entry stands; empty if it isn't known.
+/// Settings for choosing allocators.
+struct token_allocator_settings {
+    /// The number of hosts that are allocators: few, so that appends to the ledger rarely conflict,
+    /// but more than one, so that no single host serves all accounts.
+    std::size_t max_allocators = 6;
+    /// How long an allocator that did not answer is skipped: after the first failure and at most.
+    /// Doubles with each further failure.
+    microseconds initial_backoff = seconds(1);
+    microseconds max_backoff = seconds(8);
+    /// The region of this entry; empty if unknown.
     std::string own_region{};
-    /// What the way to an entry of another region and back is taken for until it is measured.
-    microseconds far_round_trip = milliseconds(40);
+    /// The assumed round trip time to an entry of another region until it is measured.
+    microseconds remote_round_trip = milliseconds(40);
 };
 
-/// How often a member was asked, by what came of it.
-struct member_answers {
+/// The calls to a member, counted by result.
+struct member_call_counts {
     std::string_view host;
     std::string_view region;
     std::uint64_t answers = 0;
-    std::uint64_t silences = 0;
+    std::uint64_t failures = 0;
 };
 
-/// Names each client account's home: the entry that draws the account's tokens from the ledger and
-/// hands them to the other entries. Every entry chooses by the same hash, so they need no talk.
-/// Where there are several regions, homes are in the one that is nearest to the store.
-/// Entries that see other members name other homes, which costs a few more appends and nothing
-/// else: a home hands out only what the ledger granted to it.
-class token_homes {
+/// Selects each client account's allocator: the entry that draws the account's tokens from the
+/// ledger and hands them out to the other entries. All entries use the same rendezvous hash and
+/// need no coordination. With several regions, allocators are in the region with the lowest latency
+/// to the store. Entries with different views of the membership select different allocators, which
+/// only costs additional appends: an allocator hands out nothing beyond what the ledger granted to
+/// it.
+class token_allocator_selector {
 public:
-    token_homes(std::string own_host, token_home_settings settings);
+    token_allocator_selector(std::string own_host, token_allocator_settings settings);
 
-    /// Takes in a member. A new process on a host isn't held to its predecessor's silence.
-    void apply(const ledger_member& member);
+    /// Adds or updates a member. A new process on a host starts without its predecessor's failures.
+    void apply(const cluster_member& member);
 
-    /// A member has left.
+    /// Removes a member that left.
     void remove(std::string_view host);
 
-    /// The home to ask, leaving out the hosts already tried and those that don't answer. Nothing if
-    /// none is left.
-    std::optional<ledger_member> home_of(instant now, std::string_view account,
-                                         std::span<const std::string> tried = {}) const;
+    /// The allocator of an account, skipping the excluded hosts and those in backoff. Empty if none
+    /// is left.
+    std::optional<cluster_member> allocator_of(instant now, std::string_view account,
+                                               std::span<const std::string> excluded = {}) const;
 
-    /// The members with the most capacity, for work that some entries do for all: the same ones at
-    /// every entry, leaving out those that don't answer. Of one region alone if one is named.
-    std::vector<ledger_member> largest(instant now, std::size_t count,
-                                       std::string_view region = {}) const;
+    /// The members with the most capacity that are not in backoff, of one region if it is not
+    /// empty. Used for work that a few entries do for all; entries with the same view choose the
+    /// same members.
+    std::vector<cluster_member> largest_reachable(instant now, std::size_t count,
+                                                  std::string_view region = {}) const;
 
-    /// The same with those that don't answer this entry, so that all entries with the same members
-    /// name the same ones, whoever they reach.
-    std::vector<ledger_member> largest_of_all(std::size_t count,
+    /// Like largest_reachable, but including members in backoff, so that all entries that know the
+    /// same members choose the same ones regardless of which of them they reach.
+    std::vector<cluster_member> largest_known(std::size_t count,
                                               std::string_view region = {}) const;
 
-    /// The first members in an order of their own that a name gives: the same at every entry that
-    /// knows the same members, whoever it reaches.
-    std::vector<ledger_member> first_for(std::string_view name, std::size_t count) const;
+    /// The first members in rendezvous order for a name. All entries that know the same members
+    /// choose the same ones, regardless of which of them they reach.
+    std::vector<cluster_member> ranked_members(std::string_view name, std::size_t count) const;
 
-    /// How many members each region has; those whose region isn't known count nowhere.
+    /// The number of members by region, without members whose region is unknown.
     std::map<std::string, std::size_t, std::less<>> members_by_region() const;
 
-    /// The homes that are in another region than this entry.
-    std::vector<ledger_member> far_homes() const;
+    /// The allocators that are in another region than this entry.
+    std::vector<cluster_member> remote_allocators() const;
 
-    /// True if this host is the account's home.
-    bool is_home(instant now, std::string_view account) const;
+    /// True if this host is the account's allocator.
+    bool is_allocator(instant now, std::string_view account) const;
 
-    /// A home didn't answer or can't help. True if it was believed to be well.
-    bool failed(instant now, std::string_view host);
+    /// Records that an allocator did not answer or could not serve a call, and puts it in backoff.
+    /// Returns true if it is the first failure since the allocator's last answer.
+    bool record_failure(instant now, std::string_view host);
 
-    /// A home answered. True if it was believed to be out of reach.
-    bool answered(std::string_view host);
+    /// Records an answer of an allocator and ends its backoff. Returns true if it had failed since
+    /// its last answer.
+    bool record_answer(std::string_view host);
 
-    /// What came of asking each member since its present process was known.
-    std::vector<member_answers> answers() const;
+    /// The calls to each member since its current process became known.
+    std::vector<member_call_counts> call_counts() const;
 
-    /// The way to a member and back; zero within this entry's region.
-    microseconds round_trip(const ledger_member& member) const {
-        return distances_.round_trip(member.host, member.region);
+    /// The estimated round trip time to a member; zero within this entry's region.
+    microseconds round_trip(const cluster_member& member) const {
+        return round_trips_.round_trip(member.host, member.region);
     }
 
     /// True if a member is known to be in another region than this entry.
-    bool is_far(const ledger_member& member) const { return distances_.is_far(member.region); }
+    bool is_remote(const cluster_member& member) const {
+        return round_trips_.is_remote(member.region);
+    }
 
-    /// A member answered after this time.
-    void answered_after(const ledger_member& member, microseconds took) {
-        distances_.observe(member.host, member.region, took);
+    /// Updates the round trip estimate with the time that a member took to answer.
+    void record_round_trip(const cluster_member& member, microseconds elapsed) {
+        round_trips_.observe(member.host, member.region, elapsed);
     }
 
-    /// How many members there are.
+    /// The number of members.
     std::size_t members() const { return members_.size(); }
 
-    /// Rises with each change of the members or of which of them answer.
+    /// Increases with each change of the members or of their backoff by a call's result.
     std::uint64_t version() const { return version_; }
 
     const std::string& own_host() const { return own_host_; }
 
 private:
-    struct rest {
+    struct backoff {
         instant until{};
-        microseconds length{};
+        microseconds duration{};
     };
 
-    struct asked_count {
+    struct call_count {
         std::uint64_t answers = 0;
-        std::uint64_t silences = 0;
+        std::uint64_t failures = 0;
     };
 
-    void choose_homes();
+    void select_allocators();
     std::string_view region_nearest_to_store() const;
-    static std::vector<ledger_member> largest_among(std::span<const ledger_member* const> members,
-                                                    std::size_t count);
-    bool rests(instant now, const std::string& host) const;
+    static std::vector<cluster_member> largest_among(std::span<const cluster_member* const> members,
+                                                     std::size_t count);
+    bool is_backed_off(instant now, const std::string& host) const;
 
     std::string own_host_;
-    token_home_settings settings_;
-    peer_distances distances_;
-    std::map<std::string, ledger_member, std::less<>> members_;
-    /// The hosts that are homes.
-    std::vector<std::string> homes_;
-    std::map<std::string, rest, std::less<>> resting_;
-    std::map<std::string, asked_count, std::less<>> asked_;
+    token_allocator_settings settings_;
+    peer_round_trips round_trips_;
+    std::map<std::string, cluster_member, std::less<>> members_;
+    /// The hosts that are allocators.
+    std::vector<std::string> allocators_;
+    std::map<std::string, backoff, std::less<>> backoffs_;
+    std::map<std::string, call_count, std::less<>> call_counts_;
     std::uint64_t version_ = 0;
 };
 
--- a/include/wrenswitch/decision/placement/engine_load.hpp
+++ b/include/wrenswitch/decision/placement/engine_load.hpp
@@ -11,106 +11,106 @@
 
 namespace wrenswitch {
 
-/// A request at an engine: what it holds there, and what it would lose by a pause.
-struct engine_run {
-    /// Names the run among those of one engine.
-    std::uint64_t number = 0;
-    /// The tokens that it fills.
-    tokens held = 0;
-    /// What is lost if its answer is late, in tokens of the request.
-    double stake = 0.0;
-    /// The longest pause between its events that its caller bears, in ms; zero if any is.
-    double longest_pause_ms = 0.0;
+/// A request running on an engine.
+struct active_attempt {
+    /// Identifies the attempt among those of one engine.
+    std::uint64_t attempt_id = 0;
+    /// The engine memory that it occupies, in tokens.
+    tokens memory_tokens = 0;
+    /// The loss if its response is late, in tokens.
+    double late_cost = 0.0;
+    /// The longest pause between events that its caller accepts, in ms; zero if unlimited.
+    double max_event_gap_ms = 0.0;
 };
 
-/// A prompt that an engine has to read.
-struct prompt_reading {
-    std::uint64_t number = 0;
-    /// How long the engine reads, in ms.
-    double length_ms = 0.0;
-    /// The longest pause of other streams meanwhile, in ms.
+/// The prefill of a prompt that an engine has not finished yet.
+struct pending_prefill {
+    std::uint64_t attempt_id = 0;
+    /// The expected duration, in ms.
+    double duration_ms = 0.0;
+    /// The longest pause that it causes in other streams, in ms.
     double pause_ms = 0.0;
 };
 
-/// What one engine has to do, as far as is known here. Prompts are taken to be read one after the
-/// other.
+/// Tracks the load of one engine as far as it is known to this process. Prefills are assumed to run
+/// one after the other.
 class engine_load {
 public:
-    /// A request goes there.
-    void begin(instant now, const engine_run& run, const prompt_reading& reading);
+    /// Adds a request that was sent to the engine.
+    void add_attempt(instant now, const active_attempt& attempt, const pending_prefill& prefill);
 
-    /// The engine has read the prompt of a run, and with it all prompts before it.
-    void first_event(instant now, std::uint64_t number);
+    /// Records the first event of an attempt, which completes its prefill and all earlier ones.
+    void record_first_event(instant now, std::uint64_t attempt_id);
 
-    /// Another event of one of the runs came.
-    void heard(instant now) { heard_ = now; }
+    /// Records a later event of any attempt.
+    void record_event(instant now) { last_event_at_ = now; }
 
-    /// A run has ended, in whatever way.
-    void end(instant now, std::uint64_t number);
+    /// Removes an attempt, however it ended.
+    void end_attempt(instant now, std::uint64_t attempt_id);
 
-    /// Streams with this bound of pauses, in ms, may come: pauses that pass it are noted from now
-    /// on.
-    void watch_bound(double longest_pause_ms) { bounds_.try_emplace(longest_pause_ms); }
+    /// Starts counting pauses that exceed this bound, in ms, for streams that may arrive later.
+    void track_pause_bound(double max_event_gap_ms) { bounds_.try_emplace(max_event_gap_ms); }
 
-    /// How long the engine still reads what it has, in ms.
+    /// The remaining duration of all pending prefills, in ms.
     double backlog_ms(instant now) const;
 
-    /// How long the engine has said nothing beyond what was expected of it, in ms: it may be dead.
+    /// How long the engine has been silent beyond what was expected, in ms. A large value suggests
+    /// that it has failed.
     double overdue_ms(instant now) const;
 
-    /// The longest pause that what waits to be read forces on streams, in ms.
+    /// The longest pause that pending prefills cause in other streams, in ms.
     double pending_pause_ms(instant now) const;
 
-    /// What is expected to be lost on the streams there if a pause this long is added to what
-    /// waits already, in tokens of requests.
-    double loss_by_pause(instant now, double pause_ms) const;
+    /// The expected loss of the engine's streams, in tokens, if a pause of this length is added to
+    /// those already pending.
+    double pause_cost(instant now, double pause_ms) const;
 
-    /// The pauses of late that a stream with this bound wouldn't have borne, for each second. They
-    /// are noted once the bound is watched.
-    double late_pauses_per_second(instant now, double longest_pause_ms) const;
+    /// The recent rate of pauses that exceed this bound, per second. Counted only from the time
+    /// that the bound is tracked.
+    double late_pauses_per_second(instant now, double max_event_gap_ms) const;
 
-    std::size_t runs() const { return runs_.size(); }
+    std::size_t attempts() const { return attempts_.size(); }
 
-    /// The tokens that all runs fill.
-    tokens held() const { return held_; }
+    /// The engine memory that all attempts occupy, in tokens.
+    tokens memory_tokens() const { return memory_tokens_; }
 
 private:
-    /// What is at risk, and what was of late, for one bound of pauses. Routes have few bounds.
-    struct bound_state {
-        /// The stakes of the streams there that have this bound.
-        double stake = 0.0;
-        /// Pauses of late that passed the bound, as a sum of chances that fades.
+    /// The state of one pause bound. Routes use few different bounds.
+    struct pause_bound_state {
+        /// The total loss, in tokens, if all streams with this bound are late.
+        double late_cost = 0.0;
+        /// A decaying sum of the probabilities that recent pauses exceeded the bound.
         double late_pauses = 0.0;
-        instant faded_at{};
+        instant decayed_at{};
     };
 
-    void add_stake(const engine_run& run, double sign);
-    void note_pause(instant now, double pause_ms);
-    static void fade(bound_state& state, instant now);
-    void remove(std::map<std::uint64_t, engine_run>::iterator run);
-    void sum_up_pending();
+    void add_late_cost(const active_attempt& attempt, double sign);
+    void record_pause(instant now, double pause_ms);
+    static void decay(pause_bound_state& state, instant now);
+    void remove_attempt(std::map<std::uint64_t, active_attempt>::iterator attempt);
+    void recompute_pending();
 
-    std::map<std::uint64_t, engine_run> runs_;
-    tokens held_ = 0;
-    std::deque<prompt_reading> pending_;
-    /// The lengths of all that is pending, in ms, and the longest pause in it.
+    std::map<std::uint64_t, active_attempt> attempts_;
+    tokens memory_tokens_ = 0;
+    std::deque<pending_prefill> pending_;
+    /// The total duration of the pending prefills and the longest pause among them, in ms.
     double pending_ms_ = 0.0;
     double pending_pause_ms_ = 0.0;
-    /// When the engine began with the first of them.
-    instant front_since_{};
-    /// By the bound, in ms.
-    std::map<double, bound_state> bounds_;
-    /// When one of the runs last got an event.
-    instant heard_{};
-    /// The runs that have had their first event.
+    /// When the engine started the first pending prefill.
+    instant front_started_at_{};
+    /// Keyed by the bound, in ms.
+    std::map<double, pause_bound_state> bounds_;
+    /// When any attempt last received an event.
+    instant last_event_at_{};
+    /// The attempts that have received their first event.
     std::set<std::uint64_t> streaming_;
 };
 
-/// The chance that an answer is late whose time of this length should stay below a bound. It rises
-/// softly, since all lengths are estimates.
-double chance_late(double length_ms, double bound_ms, double softness);
+/// The probability that a duration with this estimate exceeds the bound. A logistic function
+/// instead of a hard threshold, since all durations are estimates. Zero if the bound is zero.
+double late_probability(double duration_ms, double bound_ms, double logistic_scale);
 
-/// How soft the bound of a pause is.
-constexpr double pause_softness = 0.08;
+/// The width of the logistic function for pauses, as a share of the bound.
+constexpr double pause_logistic_scale = 0.08;
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/engine_placer.hpp
+++ b/include/wrenswitch/decision/placement/engine_placer.hpp
@@ -19,178 +19,186 @@
 
 namespace wrenswitch {
 
-/// What a request asks of a model engine, and what its caller bears.
+/// A request to an engine and the latency that its caller accepts.
 struct engine_request {
-    prompt_shape shape;
-    engine_shape engine;
-    /// The time within which the first event is worth all; zero if any is.
-    microseconds first_event_aim{};
-    /// The longest pause between events that is still in time; zero if any is.
-    microseconds longest_pause{};
-    /// Which engines it may go to.
-    candidate_constraints limits;
-    /// What the way from its entry to the engines of the keeper's region and back adds to the time
-    /// to the first event.
-    microseconds way{};
+    prompt_profile prompt;
+    engine_profile engine;
+    /// The time to the first event within which the response has its full value; zero if unlimited.
+    microseconds first_event_objective{};
+    /// The longest acceptable pause between events; zero if unlimited.
+    microseconds max_event_gap{};
+    /// Restricts the engines that may serve the request.
+    candidate_constraints constraints;
+    /// Added to the time to the first event: the round trip time from the request's entry to the
+    /// region of the coordinator's engines.
+    microseconds round_trip{};
 };
 
-/// An engine that a request may go to.
+/// An engine that may serve a request.
 struct engine_candidate {
     std::string_view id;
     unsigned slots = 1;
-    /// The share of its requests that failed of late.
+    /// The share of its recent requests that failed.
     double failure_rate = 0.0;
-    /// How long the request would have to wait before it may be sent there, in ms.
+    /// The time until a request may be sent to it, in ms.
     double wait_ms = 0.0;
-    /// Where it is; engines of one region alone copy from each other.
+    /// Its region. Engines copy prompts only within one region.
     std::string_view region{};
-    /// The way there and back, in ms, if it is in another region than the caller's entry.
-    double way_ms = 0.0;
+    /// The round trip time in ms if it is in another region than the request's entry, otherwise
+    /// zero.
+    double round_trip_ms = 0.0;
 };
 
-/// An engine from which another one may copy.
-struct engine_source {
+/// An engine from which another engine may copy cached parts of a prompt.
+struct copy_source {
     std::string_view id;
     std::string_view region{};
 };
 
-/// What a request is expected to lose at an engine, in tokens of requests, and why.
-struct placement_price {
-    /// The time until its first event, in ms, and the part of it that others' prompts take.
+/// The expected cost of placing a request on an engine, in tokens, and its components.
+struct placement_cost {
+    /// The expected time to the first event, in ms, and the part of it that is spent on other
+    /// prompts.
     double first_event_ms = 0.0;
     double backlog_ms = 0.0;
-    /// The pause that reading its prompt forces on the streams there, in ms.
+    /// The pause that the request's prefill causes in the engine's streams, in ms.
     double pause_ms = 0.0;
-    /// Lost by the request itself, and by the streams there.
-    double lost_here = 0.0;
-    double lost_beside = 0.0;
-    /// Everything, with what using the engine costs.
-    double sum = 0.0;
+    /// The expected loss of the request itself and of the engine's streams.
+    double own_cost = 0.0;
+    double stream_cost = 0.0;
+    /// All losses, the cost of engine time and the preferences between engines.
+    double total = 0.0;
 };
 
-/// Where a request goes.
+/// The engine chosen for a request.
 struct engine_choice {
-    /// The engine's place among the candidates.
+    /// The index of the engine among the candidates.
     std::size_t index = 0;
-    /// Another engine from which it should copy what that one keeps of the prompt, or empty.
+    /// The engine from which the cached part of the prompt should be copied; empty if none.
     std::string copy_from;
-    /// The tokens that the engine is expected to read.
-    tokens unread = 0;
-    placement_price price;
+    /// The prompt tokens that the engine is expected to process.
+    tokens uncached_tokens = 0;
+    placement_cost cost;
 };
 
-/// Parts shorter than this are read as fast as a copy is set up, in tokens.
-constexpr tokens least_copied = 256;
+/// The minimum number of tokens worth copying: a shorter part is processed as fast as a copy is set
+/// up.
+constexpr tokens min_copied_tokens = 256;
 
-/// Chooses a model engine for each request by what is expected to be lost: by the request itself,
-/// if its first event comes late or prompts that are read beside it hold its events up, and by the
-/// streams that its own prompt holds up. Long prompts and streams that bear no pause part company
-/// by that as far as there is room. What engines take for reading, and which are slow, is learnt
-/// from answers.
+/// Chooses an engine for each request by the expected loss: of the request itself, if its first
+/// event is late or other prefills interrupt its events, and of the streams that its own prefill
+/// interrupts. As a result, long prompts and latency-sensitive streams run on different engines as
+/// far as capacity allows. Prefill times and slow engines are learnt from responses.
 class engine_placer {
 public:
-    /// The best of the candidates, of which there must be one. An engine may copy what it lacks
-    /// from one of the sources.
+    /// The best of the candidates, which must not be empty. An engine may copy missing parts of the
+    /// prompt from one of the sources.
     engine_choice choose(instant now, const std::string& service,
                          std::span<const engine_candidate> candidates,
-                         std::span<const engine_source> sources, const engine_request& request);
+                         std::span<const copy_source> sources, const engine_request& request);
 
-    /// Where a prompt's memory is known to be kept.
-    struct kept_prompt {
+    /// An engine and the length of the prompt prefix that it is expected to have cached.
+    struct cached_prefix {
         std::string_view engine;
-        tokens kept = 0;
+        tokens cached_tokens = 0;
     };
 
-    /// The source in a region that keeps most of a prompt. Without an engine if none is known to
-    /// keep any.
-    kept_prompt most_kept(std::span<const engine_source> sources, std::string_view region,
-                          const prompt_shape& shape) const;
+    /// The source in a region with the longest cached prefix of a prompt. The engine is empty if no
+    /// source is known to have any.
+    cached_prefix longest_cached_prefix(std::span<const copy_source> sources,
+                                        std::string_view region,
+                                        const prompt_profile& prompt) const;
 
-    /// A request went to an engine with this much to read. Returns its number there. Times are
-    /// learnt from it only if `all_known`: if no other requests go there of which this placer
-    /// doesn't hear.
-    std::uint64_t begin(instant now, const std::string& service, const std::string& target,
-                        const engine_request& request, tokens unread, bool all_known);
+    /// Records that a request was sent to an engine that has to process this many prompt tokens.
+    /// Returns the attempt's identifier. Its prefill time is learnt only if `all_requests_known`,
+    /// that is, if this placer is told of all requests to the engine.
+    std::uint64_t begin_attempt(instant now, const std::string& service, const std::string& target,
+                                const engine_request& request, tokens uncached_tokens,
+                                bool all_requests_known);
 
-    /// The first event of an answer came.
-    void first_event(instant now, std::string_view target, std::uint64_t number);
+    /// Records the first event of a response.
+    void record_first_event(instant now, std::string_view target, std::uint64_t attempt_id);
 
-    /// A whole span of later events of an answer came, within this time.
-    void next_events(instant now, std::string_view target, microseconds span);
+    /// Records a complete span of later events of a response and its duration.
+    void record_event_span(instant now, std::string_view target, microseconds span);
 
-    /// A request's answer has ended, or never came.
-    void end(instant now, std::string_view target, std::uint64_t number);
+    /// Records that a request ended, with or without a response.
+    void end_attempt(instant now, std::string_view target, std::uint64_t attempt_id);
 
-    /// How long an ordinary engine of a service reads a whole prompt, in ms.
-    double reading_ms(std::string_view service, tokens prompt) const;
+    /// The expected prefill time of an uncached prompt on an engine of the service with normal
+    /// speed, in ms.
+    double prefill_ms(std::string_view service, tokens prompt_tokens) const;
 
-    /// What is believed of a target, for logs.
+    /// The estimated state of a target, for log lines.
     std::string describe(instant now, std::string_view target) const;
 
-    /// The target is gone.
-    void forget(std::string_view target);
+    /// Discards the state of a removed target.
+    void remove_target(std::string_view target);
 
 private:
-    /// A prompt whose first event will tell how long reading takes.
-    struct watched_reading {
-        instant begun{};
-        tokens prompt = 0;
-        tokens unread = 0;
+    /// A prefill whose duration is measured by the first event.
+    struct timed_prefill {
+        instant started_at{};
+        tokens prompt_tokens = 0;
+        tokens uncached_tokens = 0;
     };
 
     struct engine_state {
         std::string service;
-        prompt_memory memory{0};
+        prefix_cache_model cache{0};
         engine_load load;
-        event_pace pace;
-        std::map<std::uint64_t, watched_reading> watched;
+        event_interval_estimator event_interval;
+        std::map<std::uint64_t, timed_prefill> timed_prefills;
     };
 
     struct service_state {
-        reading_model model;
-        /// The median pace of the service's targets, in ms; zero until one is known.
-        double usual_pace_ms = 0.0;
+        prefill_model model;
+        /// The median event interval of the service's targets, in ms; zero until one is known.
+        double median_event_interval_ms = 0.0;
     };
 
-    /// What is the same for all candidates of one choice that are in one region.
-    struct asked {
+    /// What all candidates of a choice within one region have in common.
+    struct region_context {
         std::string_view region;
         const engine_request& request;
         const service_state& service;
-        std::string_view home;
-        double stake = 0.0;
-        /// The most of the prompt that any source keeps, and which one that is.
-        tokens most_kept = 0;
-        std::string_view keeper;
+        std::string_view preferred_engine;
+        double total_tokens = 0.0;
+        /// The longest prefix of the prompt that a source has cached, and the source to copy from.
+        tokens best_cached_tokens = 0;
+        std::string_view source;
     };
 
     engine_state& state_of(const std::string& service, const std::string& target,
-                           const engine_shape& engine);
-    void learn_usual_pace(const std::string& service, std::span<engine_state* const> states);
-    std::vector<asked> ask_by_region(std::span<const engine_candidate> candidates,
-                                     std::span<const engine_source> sources,
-                                     const engine_request& request, const service_state& service);
-    void find_keeper(asked& question, std::span<const engine_source> sources) const;
-    static engine_choice price_at(instant now, const engine_candidate& candidate,
-                                  const engine_state& state, const asked& question);
-    static placement_price price(instant now, const engine_candidate& candidate,
-                                 const engine_state& state, const asked& question, tokens unread,
-                                 tokens copied);
-    static double first_event_at(instant now, const engine_candidate& candidate,
-                                 const engine_state& state, const asked& question, tokens unread,
-                                 tokens copied);
-    static double chance_in_time(instant now, const engine_state& state, const asked& question,
-                                 double first_event_ms);
-    static double chance_preempted(const engine_state& state, const asked& question);
+                           const engine_profile& engine);
+    void update_median_event_interval(const std::string& service,
+                                      std::span<engine_state* const> states);
+    std::vector<region_context> contexts_by_region(std::span<const engine_candidate> candidates,
+                                                   std::span<const copy_source> sources,
+                                                   const engine_request& request,
+                                                   const service_state& service);
+    void select_copy_source(region_context& context, std::span<const copy_source> sources) const;
+    static engine_choice evaluate(instant now, const engine_candidate& candidate,
+                                  const engine_state& state, const region_context& context);
+    static placement_cost estimate_cost(instant now, const engine_candidate& candidate,
+                                        const engine_state& state, const region_context& context,
+                                        tokens uncached_tokens, tokens copied);
+    static double estimate_first_event_ms(instant now, const engine_candidate& candidate,
+                                          const engine_state& state, const region_context& context,
+                                          tokens uncached_tokens, tokens copied);
+    static double in_time_probability(instant now, const engine_state& state,
+                                      const region_context& context, double first_event_ms);
+    static double preemption_probability(const engine_state& state, const region_context& context);
     static double slowness(const engine_state& state, const service_state& service);
-    static double pause_at(instant now, const engine_state& state, const service_state& service,
-                           const engine_request& request, tokens unread);
-    static double answer_ms(const engine_state& state, const service_state& service,
-                            const engine_request& request);
+    static double estimate_pause_ms(instant now, const engine_state& state,
+                                    const service_state& service, const engine_request& request,
+                                    tokens uncached_tokens);
+    static double response_ms(const engine_state& state, const service_state& service,
+                              const engine_request& request);
 
     std::map<std::string, engine_state, std::less<>> engines_;
     std::map<std::string, service_state, std::less<>> services_;
-    std::uint64_t last_number_ = 0;
+    std::uint64_t last_attempt_id_ = 0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/engine_shape.hpp
+++ b/include/wrenswitch/decision/placement/engine_shape.hpp
@@ -4,14 +4,13 @@
 
 namespace wrenswitch {
 
-/// What the model engines of a service are like.
-struct engine_shape {
-    /// The tokens in one event of a stream, at most.
+/// Properties of the engines of a service.
+struct engine_profile {
+    /// The maximum number of tokens in one event of a stream.
     tokens tokens_per_event = 1;
-    /// The tokens that one engine's memory holds; zero if that isn't known.
-    tokens memory = 0;
-    /// How long it takes to copy a token of a prompt from one engine to another, in milliseconds.
-    /// Zero if engines can't.
+    /// The memory of one engine, in tokens; zero if unknown.
+    tokens memory_tokens = 0;
+    /// The time to copy one prompt token between engines, in ms; zero if engines cannot copy.
     double copy_ms_per_token = 0.0;
 };
 
--- a/include/wrenswitch/decision/placement/event_pace.hpp
+++ b/include/wrenswitch/decision/placement/event_pace.hpp
@@ -7,32 +7,33 @@
 
 namespace wrenswitch {
 
-/// The usual time between two events of an engine's streams, by spans of several events, since
-/// single ones are held up and bunched on their way. It is a low quantile of the last spans, so
-/// that those in which prompts are read beside them don't count, and so that an engine which turns
-/// slow shows within some answers.
-class event_pace {
+/// Estimates the interval between events of an engine's streams. Measures spans of several events,
+/// since single events may be delayed and arrive in bursts. Uses a low quantile of the latest
+/// spans, which ignores spans interrupted by prefills and detects within a few responses that an
+/// engine has become slow.
+class event_interval_estimator {
 public:
-    /// The events of one span.
-    static constexpr unsigned span_events = 8;
+    /// The number of events in a span.
+    static constexpr unsigned events_per_span = 8;
 
-    /// As many events as a span has came within this time, one after the other.
+    /// Adds the duration of one span of consecutive events.
     void observe(microseconds span);
 
-    /// True once enough spans were seen.
-    bool known() const;
+    /// True once enough spans were observed.
+    bool is_known() const;
 
-    /// In milliseconds; zero if it isn't known.
-    double gap_ms() const { return gap_ms_; }
+    /// The estimated interval in ms; zero if unknown.
+    double interval_ms() const { return interval_ms_; }
 
 private:
-    /// The spans that count. A change shows once three quarters of them are new: seven spans. A
-    /// quantile that moved by 1.5% a span took 75 to follow a change by three.
-    static constexpr std::size_t window = 8;
-
-    std::array<double, window> last_ms_{};
-    std::size_t seen_ = 0;
-    double gap_ms_ = 0.0;
+    /// The number of spans considered. A change shows once three quarters of them are new, within
+    /// seven spans. A quantile estimate that moved by 1.5% per span took 75 spans to follow a
+    /// change by a factor of three.
+    static constexpr std::size_t window_size = 8;
+
+    std::array<double, window_size> intervals_ms_{};
+    std::size_t observed_ = 0;
+    double interval_ms_ = 0.0;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/prompt_memory.hpp
+++ b/include/wrenswitch/decision/placement/prompt_memory.hpp
@@ -8,33 +8,33 @@
 
 namespace wrenswitch {
 
-/// The parts of prompts that an engine is believed to keep in its memory. Like the engine it gives
-/// up what was unused for longest once its room is full.
-class prompt_memory {
+/// Models which prompt parts an engine has in its prefix cache. Evicts the least recently used
+/// parts when the cache is full, as the engine does.
+class prefix_cache_model {
 public:
-    /// The room is the engine's whole memory, in tokens.
-    explicit prompt_memory(tokens room) : room_(room) {}
+    /// The capacity is the engine's whole memory, in tokens.
+    explicit prefix_cache_model(tokens capacity) : capacity_(capacity) {}
 
-    void set_room(tokens room);
+    void set_capacity(tokens capacity);
 
-    /// The tokens at the front of a prompt that the engine needn't read again: a part counts only
-    /// if every part before it is kept too.
-    tokens kept(const prompt_shape& shape) const;
+    /// The length of the cached prefix of a prompt, in tokens. A part counts only if all parts
+    /// before it are cached too.
+    tokens cached_tokens(const prompt_profile& prompt) const;
 
-    /// The engine reads a prompt and keeps its parts.
-    void remember(const prompt_shape& shape);
+    /// Records that the engine processes a prompt and caches its parts.
+    void insert(const prompt_profile& prompt);
 
-    /// The tokens of all parts that are kept.
-    tokens held() const { return held_; }
+    /// The total tokens of all cached parts.
+    tokens size() const { return size_; }
 
 private:
-    void give_up_oldest();
+    void evict_to_capacity();
 
-    tokens room_;
-    tokens held_ = 0;
-    /// The part that was used last is the first.
-    std::list<prompt_part> by_use_;
-    std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> by_id_;
+    tokens capacity_;
+    tokens size_ = 0;
+    /// Ordered from the most to the least recently used part.
+    std::list<prompt_part> lru_;
+    std::unordered_map<std::uint64_t, std::list<prompt_part>::iterator> entries_;
 };
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/prompt_shape.hpp
+++ b/include/wrenswitch/decision/placement/prompt_shape.hpp
@@ -9,7 +9,7 @@
 
 namespace wrenswitch {
 
-/// One part of a prompt, which other requests may share.
+/// A part of a prompt that other requests may share.
 struct prompt_part {
     std::uint64_t id = 0;
     tokens length = 0;
@@ -17,28 +17,29 @@
     friend bool operator==(const prompt_part&, const prompt_part&) = default;
 };
 
-/// What a request asks of a model engine.
-struct prompt_shape {
-    /// All tokens of the prompt.
-    tokens prompt = 0;
-    /// The most tokens of the answer.
-    tokens most_output = 0;
-    /// The tokens of the answer that the caller guesses; zero if it doesn't say.
-    tokens guessed_output = 0;
-    /// In order; the last one is the request's own, the one before it what its session shares.
+/// The size of a request's prompt and response, and the parts of the prompt.
+struct prompt_profile {
+    /// The total number of tokens in the prompt.
+    tokens prompt_tokens = 0;
+    /// The maximum number of tokens in the response.
+    tokens max_output = 0;
+    /// The caller's estimate of the tokens in the response; zero if not given.
+    tokens output_hint = 0;
+    /// In prompt order. The last part is the request's own; the part before it is shared within its
+    /// session.
     std::vector<prompt_part> parts;
 };
 
-/// What a prompt's session shares: the part before the last, which is the request's own. There must
-/// be a part.
-std::uint64_t session_of(const prompt_shape& shape);
+/// Identifies the session: the id of the part before the last, or of the only part. There must be a
+/// part.
+std::uint64_t session_id(const prompt_profile& prompt);
 
-/// The engine at which the requests of a prompt's session meet by hash: entries that know nothing
-/// of each other name the same one. Empty if there are no engines, or no parts that others could
-/// share.
-std::string_view home_of(std::span<const std::string_view> engines, const prompt_shape& shape);
+/// The engine that rendezvous hashing assigns to the prompt's session, so that entries agree
+/// without communication. Empty if there are no engines or the prompt has no parts.
+std::string_view session_engine(std::span<const std::string_view> engines,
+                                const prompt_profile& prompt);
 
-/// The tokens that an answer is expected to have: the caller's guess, or half of the most.
-tokens expected_output(const prompt_shape& shape);
+/// The expected number of tokens in the response: the caller's estimate, or half the maximum.
+tokens expected_output(const prompt_profile& prompt);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/decision/placement/reading_model.hpp
+++ b/include/wrenswitch/decision/placement/reading_model.hpp
@@ -7,36 +7,36 @@
 
 namespace wrenswitch {
 
-/// How long the engines of one service take to read prompts, learnt from the time until their first
-/// events. The time is a start, a part for each token, and a part for each pair of a token and what
-/// stands before it (attention). All times are in milliseconds on an engine of ordinary speed.
-class reading_model {
+/// Predicts the prefill time of a service's engines, learnt from the time to the first event. The
+/// time is the sum of a fixed setup time, a term per token, and a term per pair of a token and a
+/// preceding token (attention). All times are in ms on an engine of normal speed.
+class prefill_model {
 public:
-    reading_model();
+    prefill_model();
 
-    /// The time from sending to the first event, if nothing else is being read.
-    double first_event_ms(tokens prompt, tokens unread) const;
+    /// The time from sending a request to its first event if no other prefill is pending.
+    double first_event_ms(tokens prompt_tokens, tokens uncached_tokens) const;
 
-    /// The part of it in which the engine reads, and others wait.
-    double reading_ms(tokens prompt, tokens unread) const;
+    /// The part of this time in which the engine processes the prompt and other prefills wait.
+    double prefill_ms(tokens prompt_tokens, tokens uncached_tokens) const;
 
-    /// The longest pause between two events of another stream on the engine while the prompt is
-    /// read: the engine reads a piece of a prompt for every token that its streams get.
-    double pause_ms(tokens prompt, tokens unread, tokens tokens_per_event) const;
+    /// The longest pause between two events of another stream during the prefill: the engine
+    /// processes one chunk of the prompt for each token of its streams.
+    double pause_ms(tokens prompt_tokens, tokens uncached_tokens, tokens tokens_per_event) const;
 
-    /// A first event came. One that took far longer than expected waited for something unseen and
-    /// counts only as a little longer.
-    void observe(tokens prompt, tokens unread, double took_ms);
+    /// Updates the model with the time to a first event. An unexpectedly long time was delayed by
+    /// an unknown cause, so its error is limited.
+    void observe(tokens prompt_tokens, tokens uncached_tokens, double elapsed_ms);
 
 private:
     static constexpr std::size_t terms = 3;
     using vector = std::array<double, terms>;
 
-    static vector features(tokens prompt, tokens unread);
+    static vector features(tokens prompt_tokens, tokens uncached_tokens);
     void update(const vector& x, double error);
-    void keep_in_bounds();
+    void clamp_parameters();
 
-    /// The time to start, for 1,000 tokens, and for a million pairs.
+    /// The setup time, the time per 1,000 tokens, and the time per million pairs.
     vector weights_;
     /// The covariance of the weights, for recursive least squares.
     std::array<vector, terms> covariance_{};
--- a/include/wrenswitch/drivers/member_directory.hpp
+++ b/include/wrenswitch/drivers/member_directory.hpp
@@ -12,12 +12,12 @@
 namespace wrenswitch {
 
 /// A member as a record of a keyed log, and back. Nothing if the record is damaged.
-keyed_record encode_member(const ledger_member& member);
-std::optional<ledger_member> decode_member(const keyed_record& record);
+keyed_record encode_member(const cluster_member& member);
+std::optional<cluster_member> decode_member(const keyed_record& record);
 
 /// What a directory calls.
 struct member_directory_hooks {
-    std::function<void(const ledger_member&)> joined;
+    std::function<void(const cluster_member&)> joined;
     std::function<void(const std::string& host)> left;
     std::function<void(bool reachable)> reachable;
 };
@@ -28,7 +28,7 @@
 class member_directory {
 public:
     /// With `times_store` the process finds out how far the store is before it writes its record.
-    member_directory(event_loop& loop, keyed_log& log, std::string name, ledger_member own,
+    member_directory(event_loop& loop, keyed_log& log, std::string name, cluster_member own,
                      member_directory_hooks hooks, bool times_store = false);
     ~member_directory();
     member_directory(const member_directory&) = delete;
@@ -48,7 +48,7 @@
 
     keyed_log& log_;
     std::string name_;
-    ledger_member own_;
+    cluster_member own_;
     member_directory_hooks hooks_;
     /// True until the store was timed, and while it is.
     bool times_store_;
@@ -56,7 +56,7 @@
     keyed_follower follower_;
     conditional_appender appender_;
     /// This host's record as the log has it.
-    std::optional<ledger_member> written_;
+    std::optional<cluster_member> written_;
     bool leaving_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/include/wrenswitch/roles/gateway.hpp
+++ b/include/wrenswitch/roles/gateway.hpp
@@ -45,7 +45,7 @@
     /// Headers that are passed on even if a caller's Connection header names them.
     std::vector<std::string> always_passed;
     /// What a request says of its prompt. Without a prompt all is zero.
-    std::function<result<prompt_shape>(const message_head&)> read_prompt;
+    std::function<result<prompt_profile>(const message_head&)> read_prompt;
     /// What a target says of itself with an answer.
     std::function<target_signals(const message_head&)> read_signals;
 
--- a/spec/grants.pml
+++ b/spec/grants.pml
@@ -3,8 +3,8 @@
  * a predecessor that was only frozen and goes on, a limit that is raised meanwhile, and tokens that
  * move between processes in messages that may be lost or come late to anyone.
  *
- * It stands for: grant_table, grant_holder (compose, resolved, reserve, give, receive), grant_ledger
- * and token_exchange.
+ * It stands for: grant_table, grant_holder (compose_records, on_append_resolved, reserve, transfer_out,
+ * transfer_in), grant_ledger and token_exchange.
  *
  * Variants that are broken on purpose, each of which must fail:
  *   NO_CONDITION   appends wherever the log ends
--- a/src/decision/gateway/region_watch.cpp
+++ b/src/decision/gateway/region_watch.cpp
@@ -19,30 +19,30 @@
 region_outage_detector::region_outage_detector(std::string own_region)
     : own_region_(std::move(own_region)) {}
 
-void region_outage_detector::apply_counts(instant now, const member_answers& member) {
+void region_outage_detector::apply_counts(instant now, const member_call_counts& member) {
     region_state& region = regions_[std::string(member.region)];
     region.members += 1;
     counts& previous = last_counts_[std::string(member.host)];
     // A restarted process counts from zero again.
     const bool was_reset =
-        member.answers < previous.responses || member.silences < previous.failures;
+        member.answers < previous.responses || member.failures < previous.failures;
     const counts baseline = was_reset ? counts{} : previous;
     region.responded = region.responded || member.answers > baseline.responses;
-    if (member.silences > baseline.failures) {
+    if (member.failures > baseline.failures) {
         region.first_failure = region.unresponsive.empty() ? now : region.first_failure;
         region.last_failure = now;
         region.unresponsive.emplace(member.host);
     }
-    previous = {member.answers, member.silences};
+    previous = {member.answers, member.failures};
 }
 
 std::vector<region_status_change> region_outage_detector::update(
-    instant now, std::span<const member_answers> members) {
+    instant now, std::span<const member_call_counts> members) {
     for (auto& [name, region] : regions_) {
         region.members = 0;
         region.responded = false;
     }
-    for (const member_answers& member : members) {
+    for (const member_call_counts& member : members) {
         if (!member.region.empty() && member.region != own_region_) {
             apply_counts(now, member);
         }
--- a/src/decision/gateway/target_pool.cpp
+++ b/src/decision/gateway/target_pool.cpp
@@ -72,7 +72,7 @@
     fresh.list_position = found->second.list_position;
     fresh.in_flight = found->second.in_flight;
     found->second = std::move(fresh);
-    placer_.forget(id);
+    placer_.remove_target(id);
     warmup_.forget(id);
     limits_.forget(id);
     backoffs_.forget(id);
@@ -218,7 +218,7 @@
             !state.listed && state.in_flight == 0 && now - state.unlisted_since > unlisted_lifetime;
         if (expired) {
             expired_ids.push_back(it->first);
-            placer_.forget(it->first);
+            placer_.remove_target(it->first);
             warmup_.forget(it->first);
             limits_.forget(it->first);
             backoffs_.forget(it->first);
@@ -361,13 +361,14 @@
                                        const target_filter& passes, permit_share share) {
     std::vector<const target_state*> eligible;
     std::vector<engine_candidate> offered;
-    const permitted_candidates group = candidates_with_permits(
-        now, service, tried, share, max_wait_for(request.first_event_aim), request.limits);
+    const permitted_candidates group =
+        candidates_with_permits(now, service, tried, share,
+                                max_wait_for(request.first_event_objective), request.constraints);
     for (const target_state* state : group.targets) {
         if (passes(state->target.id)) {
             eligible.push_back(state);
             const microseconds round_trip =
-                request.way +
+                request.round_trip +
                 (is_in_other_region(*state) ? settings_.far_round_trip : microseconds(0));
             offered.push_back({state->target.id, state->target.slots, failure_rate(*state, now),
                                as_milliseconds(warmup_.delay(now, state->target.id, share)),
@@ -381,11 +382,11 @@
     }
     const engine_choice chosen =
         placer_.choose(now, std::string(service), offered,
-                       copy_sources(now, service, request.limits.regions), request);
+                       copy_sources(now, service, request.constraints.regions), request);
     choice.target = &eligible[chosen.index]->target;
     choice.copy_from = chosen.copy_from.empty() ? nullptr : find(chosen.copy_from);
-    choice.uncached_tokens = chosen.unread;
-    choice.price = chosen.price;
+    choice.uncached_tokens = chosen.uncached_tokens;
+    choice.price = chosen.cost;
     choice.wait = warmup_.reserve(now, choice.target->id, share);
     return choice;
 }
@@ -394,21 +395,21 @@
 /// gateway also knows which engines processed its own requests, whatever gateways coordinate them.
 void target_pool::improve_copy_source(instant now, const engine_request& request,
                                       target_choice& choice) const {
-    const prompt_shape& shape = request.shape;
+    const prompt_profile& shape = request.prompt;
     if (request.engine.copy_ms_per_token <= 0.0 || shape.parts.empty()) {
         return;
     }
-    const tokens shared = shape.prompt - shape.parts.back().length;
-    const tokens cached = shape.prompt - choice.uncached_tokens;
-    if (shared - cached < least_copied) {
+    const tokens shared = shape.prompt_tokens - shape.parts.back().length;
+    const tokens cached = shape.prompt_tokens - choice.uncached_tokens;
+    if (shared - cached < min_copied_tokens) {
         return;
     }
-    const engine_placer::kept_prompt most =
-        placer_.most_kept(copy_sources(now, choice.target->service, request.limits.regions),
-                          copy_scope_of(targets_.find(choice.target->id)->second), shape);
-    if (most.kept - cached >= least_copied && most.engine != choice.target->id) {
+    const engine_placer::cached_prefix most = placer_.longest_cached_prefix(
+        copy_sources(now, choice.target->service, request.constraints.regions),
+        copy_scope_of(targets_.find(choice.target->id)->second), shape);
+    if (most.cached_tokens - cached >= min_copied_tokens && most.engine != choice.target->id) {
         choice.copy_from = find(most.engine);
-        choice.uncached_tokens = shape.prompt - most.kept;
+        choice.uncached_tokens = shape.prompt_tokens - most.cached_tokens;
     }
 }
 
@@ -418,11 +419,11 @@
                                                 rendezvous_scope scope) {
     std::vector<std::string_view> engines;
     const auto any = [](const target_state&) { return true; };
-    std::vector<target_state*> eligible = candidates(now, service, tried, request.limits, any);
+    std::vector<target_state*> eligible = candidates(now, service, tried, request.constraints, any);
     if (scope == rendezvous_scope::another_region) {
         std::erase_if(eligible,
                       [this](const target_state* state) { return !is_in_other_region(*state); });
-    } else if (has_multiple_regions_ && !justifies_remote_region(service, request.shape)) {
+    } else if (has_multiple_regions_ && !justifies_remote_region(service, request.prompt)) {
         prefer_own_region(eligible);
     }
     engines.reserve(eligible.size());
@@ -432,7 +433,7 @@
     if (engines.empty()) {
         return {};
     }
-    const std::string_view home = home_of(engines, request.shape);
+    const std::string_view home = session_engine(engines, request.prompt);
     return home.empty() ? engines[random_.below(engines.size())] : home;
 }
 
@@ -440,12 +441,12 @@
 /// placement and one to send the request, uses one engine for all regions. With one engine per
 /// region, parts were processed again twice as often.
 bool target_pool::justifies_remote_region(std::string_view service,
-                                          const prompt_shape& shape) const {
+                                          const prompt_profile& shape) const {
     if (shape.parts.empty()) {
         return false;
     }
-    const tokens shared = shape.prompt - shape.parts.back().length;
-    return placer_.reading_ms(service, shared) > 2.0 * as_milliseconds(settings_.far_round_trip);
+    const tokens shared = shape.prompt_tokens - shape.parts.back().length;
+    return placer_.prefill_ms(service, shared) > 2.0 * as_milliseconds(settings_.far_round_trip);
 }
 
 bool target_pool::is_in_other_region(const target_state& state) const {
@@ -524,9 +525,9 @@
 
 /// Returns the engines that others may copy from, including draining ones, which still serve
 /// copies.
-std::vector<engine_source> target_pool::copy_sources(instant now, std::string_view service,
-                                                     const allowed_regions& regions) const {
-    std::vector<engine_source> found;
+std::vector<copy_source> target_pool::copy_sources(instant now, std::string_view service,
+                                                   const allowed_regions& regions) const {
+    std::vector<copy_source> found;
     for (const auto& [id, state] : targets_) {
         const bool can_serve = state.listed && !state.replaced && state.ejected_until <= now &&
                                is_in_allowed_region(state, regions);
@@ -569,20 +570,20 @@
     if (found == targets_.end()) {
         return 0;
     }
-    return placer_.begin(now, found->second.target.service, found->first, request, uncached_tokens,
-                         all_known);
+    return placer_.begin_attempt(now, found->second.target.service, found->first, request,
+                                 uncached_tokens, all_known);
 }
 
 void target_pool::record_first_event(instant now, std::string_view id, std::uint64_t attempt) {
-    placer_.first_event(now, id, attempt);
+    placer_.record_first_event(now, id, attempt);
 }
 
 void target_pool::record_event_span(instant now, std::string_view id, microseconds span) {
-    placer_.next_events(now, id, span);
+    placer_.record_event_span(now, id, span);
 }
 
 void target_pool::end_attempt(instant now, std::string_view id, std::uint64_t attempt) {
-    placer_.end(now, id, attempt);
+    placer_.end_attempt(now, id, attempt);
 }
 
 void target_pool::on_finished(std::string_view id) {
--- a/src/decision/grants/grant_holder.cpp
+++ b/src/decision/grants/grant_holder.cpp
@@ -6,28 +6,30 @@
 namespace wrenswitch {
 namespace {
 
-/// A process draws once one account has less than this part of what is wanted in hand, and then for
-/// all that have less than the other: few appends, each for many accounts.
-constexpr double draw_at = 0.35;
-constexpr double refill_at = 0.8;
+/// A process draws once an account's balance falls below the low watermark, as a share of the
+/// desired free tokens. It then refills all accounts below the refill watermark, so that few
+/// appends cover many accounts.
+constexpr double low_watermark = 0.35;
+constexpr double refill_watermark = 0.8;
 
-/// Hands may hold this multiple of what is wanted before it counts as a surplus.
+/// A balance counts as surplus above this multiple of the desired free tokens.
 constexpr double surplus_factor = 2.0;
 
-/// A surplus that is smaller than this part of what is wanted isn't worth an append.
-constexpr double least_return = 0.5;
+/// A surplus below this share of the desired free tokens is not worth an append.
+constexpr double min_return_fraction = 0.5;
 
-/// What a host keeps, in parts of the horizon, while another host waits for tokens.
-constexpr double kept_while_others_wait = 0.1;
+/// The share of the horizon that a host keeps covered while another host waits for tokens.
+constexpr double contended_horizon_fraction = 0.1;
 
-/// The least time that a rate of demand is worked out over: what one request needs is no rate.
-constexpr microseconds least_demand_window = milliseconds(500);
+/// The minimum time over which a demand rate is computed, since a single request gives no rate.
+constexpr microseconds min_demand_window = milliseconds(500);
 
-/// A host's wish that is this many times larger or smaller than the ledger says is told anew.
-constexpr tokens told_wanted_factor = 2;
+/// The wanted amount is reported again when it differs from the last report by more than this
+/// factor.
+constexpr tokens reported_wanted_factor = 2;
 
-tokens part_of(tokens whole, double part) {
-    return static_cast<tokens>(std::llround(static_cast<double>(whole) * part));
+tokens fraction_of(tokens total, double fraction) {
+    return static_cast<tokens>(std::llround(static_cast<double>(total) * fraction));
 }
 
 }  // namespace
@@ -57,33 +59,36 @@
     return own.holder == incarnation_ ? own.granted - own.base : 0;
 }
 
-tokens grant_holder::free(const std::string& account, const account_state& state) const {
-    return granted_here(account) + state.received - state.spent - state.reserved - state.returning;
+tokens grant_holder::free_tokens(const std::string& account, const account_state& state) const {
+    return granted_here(account) + state.net_received - state.spent - state.reserved -
+           state.pending_return;
 }
 
-/// What the ledger can take back: of what is free, the part that it granted to this process.
+/// The amount that can be returned to the ledger: the part of the free tokens that the ledger
+/// granted to this process.
 tokens grant_holder::returnable(const std::string& account, const account_state& state) const {
-    const tokens unreturned = free(account, state) + state.returning;
-    return std::max<tokens>(0, std::min(unreturned, granted_here(account)));
+    const tokens balance = free_tokens(account, state) + state.pending_return;
+    return std::max<tokens>(0, std::min(balance, granted_here(account)));
 }
 
-/// What is gone of this process's grants: spent here or given away, less what others gave.
-tokens grant_holder::spent_of_grants(const account_state& state) {
-    return std::max<tokens>(0, state.spent - state.received);
+/// Spending charged to this process's grants: spent here or transferred out, less what was
+/// transferred in.
+tokens grant_holder::net_spent(const account_state& state) {
+    return std::max<tokens>(0, state.spent - state.net_received);
 }
 
-tokens grant_holder::free(const std::string& account) const {
+tokens grant_holder::free_tokens(const std::string& account) const {
     const auto found = accounts_.find(account);
-    return found == accounts_.end() ? 0 : free(account, found->second);
+    return found == accounts_.end() ? 0 : free_tokens(account, found->second);
 }
 
 bool grant_holder::all_returned() const {
     return std::all_of(accounts_.begin(), accounts_.end(), [this](const auto& entry) {
-        return entry.second.returning == 0 && returnable(entry.first, entry.second) == 0;
+        return entry.second.pending_return == 0 && returnable(entry.first, entry.second) == 0;
     });
 }
 
-tokens grant_holder::available(const std::string& account) const {
+tokens grant_holder::ungranted(const std::string& account) const {
     return std::max<tokens>(0, limit(account) - table_.granted(account));
 }
 
@@ -97,223 +102,232 @@
     return found == accounts_.end() ? 0 : found->second.reserved;
 }
 
-tokens grant_holder::left_at_most(const std::string& account) const {
+tokens grant_holder::max_remaining(const std::string& account) const {
     const auto found = accounts_.find(account);
     if (found == accounts_.end()) {
         return 0;
     }
     const grant own = table_.find(key_of(account));
     const bool is_ours = own.holder == incarnation_;
-    // What the table holds of this process is older than what the process knows itself.
+    // The table's record of this process is older than the local state.
     const tokens spent_by_others = table_.spent(account) - own.spent;
-    const tokens spent_here = (is_ours ? own.base : own.granted) + spent_of_grants(found->second);
+    const tokens spent_here = (is_ours ? own.base : own.granted) + net_spent(found->second);
     return found->second.limit - spent_by_others - spent_here;
 }
 
 reserve_outcome grant_holder::reserve(instant now, const std::string& account, tokens amount) {
     account_state& state = accounts_[account];
-    if (free(account, state) >= amount) {
+    if (free_tokens(account, state) >= amount) {
         state.reserved += amount;
         return reserve_outcome::reserved;
     }
-    note_demand(now, state, 0);
-    return left_at_most(account) < amount ? reserve_outcome::exhausted
-                                          : reserve_outcome::short_of_tokens;
+    record_demand(now, state, 0);
+    return max_remaining(account) < amount ? reserve_outcome::exhausted
+                                           : reserve_outcome::short_of_tokens;
 }
 
 void grant_holder::spend(instant now, const std::string& account, tokens amount) {
     account_state& state = accounts_[account];
     state.reserved -= amount;
     state.spent += amount;
-    note_demand(now, state, amount);
+    record_demand(now, state, amount);
 }
 
 void grant_holder::release(const std::string& account, tokens amount) {
     accounts_[account].reserved -= amount;
 }
 
-void grant_holder::give(instant now, const std::string& account, tokens amount) {
+void grant_holder::transfer_out(instant now, const std::string& account, tokens amount) {
     account_state& state = accounts_[account];
     state.reserved -= amount;
-    state.received -= amount;
-    note_demand(now, state, amount);
+    state.net_received -= amount;
+    record_demand(now, state, amount);
 }
 
-void grant_holder::receive(const std::string& account, tokens amount) {
-    accounts_[account].received += amount;
+void grant_holder::transfer_in(const std::string& account, tokens amount) {
+    accounts_[account].net_received += amount;
 }
 
-std::vector<std::string> grant_holder::accounts_with_free() const {
+std::vector<std::string> grant_holder::accounts_with_free_tokens() const {
     std::vector<std::string> found;
     for (const auto& [account, state] : accounts_) {
-        if (free(account, state) > 0) {
+        if (free_tokens(account, state) > 0) {
             found.push_back(account);
         }
     }
     return found;
 }
 
-tokens grant_holder::take_free(const std::string& account) {
+tokens grant_holder::withdraw_free(const std::string& account) {
     account_state& state = accounts_[account];
-    const tokens amount = std::max<tokens>(0, free(account, state));
-    state.received -= amount;
+    const tokens amount = std::max<tokens>(0, free_tokens(account, state));
+    state.net_received -= amount;
     return amount;
 }
 
-void grant_holder::set_waiting(const std::string& account, tokens amount, tokens first) {
-    accounts_[account].waiting = amount;
-    accounts_[account].first_waiting = first;
+void grant_holder::set_waiting(const std::string& account, tokens total, tokens first_request) {
+    accounts_[account].waiting = total;
+    accounts_[account].first_waiting = first_request;
 }
 
-/// An average over the memory in which old demand fades evenly.
-void grant_holder::note_demand(instant now, account_state& state, tokens amount) const {
-    if (state.demand_at == instant{}) {
-        state.demand_at = now;
+/// Maintains an exponentially decaying average of demand.
+void grant_holder::record_demand(instant now, account_state& state, tokens amount) const {
+    if (state.demand_updated_at == instant{}) {
+        state.demand_updated_at = now;
     }
-    const double memory = as_seconds(policy_.demand_memory);
-    const double passed = as_seconds(now - state.demand_at);
-    state.demand_at = now;
-    state.demand_per_second *= std::exp(-passed / memory);
-    state.demand_per_second += static_cast<double>(amount) / memory;
-    if (amount > 0 && state.demand_since == instant{}) {
-        state.demand_since = now;
+    const double time_constant = as_seconds(policy_.demand_time_constant);
+    const double elapsed = as_seconds(now - state.demand_updated_at);
+    state.demand_updated_at = now;
+    state.demand_per_second *= std::exp(-elapsed / time_constant);
+    state.demand_per_second += static_cast<double>(amount) / time_constant;
+    if (amount > 0 && state.demand_started_at == instant{}) {
+        state.demand_started_at = now;
     }
 }
 
-tokens grant_holder::expected_need(instant now, const std::string& account,
-                                   microseconds span) const {
+tokens grant_holder::expected_demand(instant now, const std::string& account,
+                                     microseconds interval) const {
     const auto found = accounts_.find(account);
-    if (found == accounts_.end() || found->second.demand_at == instant{}) {
+    if (found == accounts_.end() || found->second.demand_updated_at == instant{}) {
         return 0;
     }
-    const double faded =
-        std::exp(-as_seconds(now - found->second.demand_at) / as_seconds(policy_.demand_memory));
-    const double need = found->second.demand_per_second * faded * as_seconds(span);
+    const double decay = std::exp(-as_seconds(now - found->second.demand_updated_at) /
+                                  as_seconds(policy_.demand_time_constant));
+    const double need = found->second.demand_per_second * decay * as_seconds(interval);
     return static_cast<tokens>(std::llround(need));
 }
 
-microseconds grant_holder::horizon() const {
-    const double ahead = static_cast<double>(append_time_.count()) * policy_.append_times_ahead;
-    return policy_.horizon + microseconds(static_cast<std::int64_t>(ahead));
+microseconds grant_holder::effective_horizon() const {
+    const double append_allowance =
+        static_cast<double>(append_latency_.count()) * policy_.append_latency_multiple;
+    return policy_.horizon + microseconds(static_cast<std::int64_t>(append_allowance));
 }
 
-double grant_holder::held_share() const {
-    const double longer = as_seconds(horizon()) / std::max(1e-3, as_seconds(policy_.horizon));
-    return std::min(policy_.most_held_share, policy_.held_share * longer);
+double grant_holder::effective_held_share() const {
+    const double horizon_ratio =
+        as_seconds(effective_horizon()) / std::max(1e-3, as_seconds(policy_.horizon));
+    return std::min(policy_.max_held_share_high_latency, policy_.max_held_share * horizon_ratio);
 }
 
-/// The average as of its last note, over the time that was really seen: one that has seen 0.7 s of
-/// its three would tell a fifth of the demand, which is all that was in hand when the log fell
-/// silent so soon after a start. With it 0.506 of worth in place of 0.478 on such a day of 26
-/// entries.
+/// Corrects the average, as of its last update, for the time that was actually observed. Without
+/// the correction, an average with a time constant of 3 s that has seen 0.7 s reports a fifth of
+/// the demand, which is all that a host holds if the log becomes unreachable that soon after a
+/// start. In such a simulated day with 26 entries the correction raised the score from 0.478 to
+/// 0.506.
 double grant_holder::demand_rate(instant now, const account_state& state) const {
-    if (state.demand_since == instant{}) {
+    if (state.demand_started_at == instant{}) {
         return 0.0;
     }
-    const double seen = as_seconds(std::max(now - state.demand_since, least_demand_window));
-    return state.demand_per_second / (1.0 - std::exp(-seen / as_seconds(policy_.demand_memory)));
+    const double observed = as_seconds(std::max(now - state.demand_started_at, min_demand_window));
+    return state.demand_per_second /
+           (1.0 - std::exp(-observed / as_seconds(policy_.demand_time_constant)));
 }
 
-tokens grant_holder::wanted_in_hand(instant now, const std::string& account,
-                                    const account_state& state) const {
-    if (draws_ahead_ && !draws_ahead_(account)) {
+tokens grant_holder::desired_free_tokens(instant now, const std::string& account,
+                                         const account_state& state) const {
+    if (draw_ahead_filter_ && !draw_ahead_filter_(account)) {
         return 0;
     }
-    const tokens available = state.limit - table_.granted(account);
-    const tokens held = std::max<tokens>(0, free(account, state));
-    const double span_ahead = as_seconds(horizon());
-    const bool others_wait = others_wait_for(account);
-    const double span = others_wait ? span_ahead * kept_while_others_wait : span_ahead;
-    const auto by_demand = static_cast<tokens>(std::llround(demand_rate(now, state) * span));
-    const tokens left = std::max<tokens>(0, available) + held;
-    const tokens first = others_wait ? 0 : policy_.first_draw;
-    const tokens share = part_of(left, held_share());
-    return std::min(by_demand + first, std::max<tokens>(share, 0));
-}
-
-tokens grant_holder::surplus_change(instant now, account_state& state, tokens surplus,
-                                    bool at_once) const {
+    const tokens ungranted = state.limit - table_.granted(account);
+    const tokens balance = std::max<tokens>(0, free_tokens(account, state));
+    const double horizon_seconds = as_seconds(effective_horizon());
+    const bool others_need = others_need_more(account);
+    const double covered_seconds =
+        others_need ? horizon_seconds * contended_horizon_fraction : horizon_seconds;
+    const auto for_demand =
+        static_cast<tokens>(std::llround(demand_rate(now, state) * covered_seconds));
+    const tokens remaining = std::max<tokens>(0, ungranted) + balance;
+    const tokens initial = others_need ? 0 : policy_.initial_draw;
+    const tokens share = fraction_of(remaining, effective_held_share());
+    return std::min(for_demand + initial, std::max<tokens>(share, 0));
+}
+
+tokens grant_holder::surplus_return(instant now, account_state& state, tokens surplus,
+                                    bool immediate) const {
     state.surplus_since = state.surplus_since.value_or(now);
-    const bool patient = now - *state.surplus_since < policy_.surplus_patience;
-    return patient && !at_once ? 0 : -surplus;
+    const bool within_delay = now - *state.surplus_since < policy_.surplus_return_delay;
+    return within_delay && !immediate ? 0 : -surplus;
 }
 
-/// What to draw, or, if negative, what to give back.
-tokens grant_holder::change_for(instant now, const std::string& account, account_state& state,
-                                bool draws) const {
-    const tokens held = free(account, state) + state.returning;
+/// The amount to draw; negative if it is to be returned.
+tokens grant_holder::planned_change(instant now, const std::string& account, account_state& state,
+                                    bool draw_due) const {
+    const tokens balance = free_tokens(account, state) + state.pending_return;
     if (draining_) {
         return -returnable(account, state);
     }
-    const tokens available = std::max<tokens>(0, state.limit - table_.granted(account));
-    const tokens wanted = wanted_in_hand(now, account, state);
-    const tokens missing = state.waiting + wanted - held;
-    if (state.waiting > held || held < part_of(wanted, refill_at)) {
+    const tokens ungranted = std::max<tokens>(0, state.limit - table_.granted(account));
+    const tokens wanted = desired_free_tokens(now, account, state);
+    const tokens shortfall = state.waiting + wanted - balance;
+    if (state.waiting > balance || balance < fraction_of(wanted, refill_watermark)) {
         state.surplus_since.reset();
-        const bool useless = state.waiting > held && !can_serve_first(account, state);
-        return !draws || useless ? 0 : std::min(std::max<tokens>(missing, 0), available);
+        const bool cannot_help =
+            state.waiting > balance && !can_serve_first_waiting(account, state);
+        return !draw_due || cannot_help ? 0 : std::min(std::max<tokens>(shortfall, 0), ungranted);
     }
-    const bool others_wait = others_wait_for(account);
-    const double factor = others_wait ? 1.0 : surplus_factor;
+    const bool others_need = others_need_more(account);
+    const double factor = others_need ? 1.0 : surplus_factor;
     const tokens surplus =
-        std::min(returnable(account, state), held - state.waiting - part_of(wanted, factor));
-    if (surplus < (others_wait ? 1 : std::max(policy_.first_draw, part_of(wanted, least_return)))) {
+        std::min(returnable(account, state), balance - state.waiting - fraction_of(wanted, factor));
+    if (surplus <
+        (others_need ? 1
+                     : std::max(policy_.initial_draw, fraction_of(wanted, min_return_fraction)))) {
         state.surplus_since.reset();
         return 0;
     }
-    return surplus_change(now, state, surplus, others_wait);
+    return surplus_return(now, state, surplus, others_need);
 }
 
-bool grant_holder::is_low(instant now, const std::string& account,
-                          const account_state& state) const {
-    const tokens held = free(account, state) + state.returning;
-    const tokens wanted = wanted_in_hand(now, account, state);
-    return can_serve_first(account, state) ||
-           (available(account) > 0 && held < part_of(wanted, draw_at));
+bool grant_holder::needs_draw(instant now, const std::string& account,
+                              const account_state& state) const {
+    const tokens balance = free_tokens(account, state) + state.pending_return;
+    const tokens wanted = desired_free_tokens(now, account, state);
+    return can_serve_first_waiting(account, state) ||
+           (ungranted(account) > 0 && balance < fraction_of(wanted, low_watermark));
 }
 
-/// True if other hosts wait for more than the ledger has left. They can tell a budget that is used
-/// up from one that is in other hands only by what those say they have spent.
-bool grant_holder::others_wait_for(const std::string& account) const {
-    return table_.wanted_by_others(account, host_) > available(account);
+/// True if other hosts wait for more than the ledger has left. They depend on the reported spending
+/// to tell an exhausted budget from one whose tokens are held by other hosts.
+bool grant_holder::others_need_more(const std::string& account) const {
+    return table_.wanted_by_others(account, host_) > ungranted(account);
 }
 
-/// True if what this host wants differs enough from what the ledger says of it. Others need only
-/// its size, so that a crowd that comes and goes isn't worth an append each time.
-bool grant_holder::is_news(const grant& present, tokens wanted) const {
-    const tokens told = present.holder == incarnation_ ? present.wanted : 0;
-    if (wanted == 0 || told == 0) {
-        return wanted != told;
+/// True if the wanted amount differs enough from the last report. Other hosts need only its order
+/// of magnitude, so small fluctuations are not worth an append.
+bool grant_holder::is_significant_change(const grant& current, tokens wanted) const {
+    const tokens reported = current.holder == incarnation_ ? current.wanted : 0;
+    if (wanted == 0 || reported == 0) {
+        return wanted != reported;
     }
-    return wanted > told * told_wanted_factor || wanted * told_wanted_factor < told;
+    return wanted > reported * reported_wanted_factor || wanted * reported_wanted_factor < reported;
 }
 
-/// This host's record after a change of what it is granted.
+/// This host's record after a change of its granted amount.
 grant grant_holder::next_grant(const std::string& account, const account_state& state,
-                               const grant& present, tokens change) const {
-    const tokens in_hand = std::max<tokens>(0, free(account, state) + change);
-    grant next = present;
-    next.base = present.holder == incarnation_ ? present.base : present.granted;
+                               const grant& current, tokens change) const {
+    const tokens free_after = std::max<tokens>(0, free_tokens(account, state) + change);
+    grant next = current;
+    next.base = current.holder == incarnation_ ? current.base : current.granted;
     next.holder = incarnation_;
-    next.granted = present.granted + change;
-    next.spent = next.base + spent_of_grants(state);
-    next.wanted = std::max<tokens>(0, state.waiting - in_hand);
+    next.granted = current.granted + change;
+    next.spent = next.base + net_spent(state);
+    next.wanted = std::max<tokens>(0, state.waiting - free_after);
     return next;
 }
 
-std::vector<grant_record> grant_holder::compose(instant now) {
+std::vector<grant_record> grant_holder::compose_records(instant now) {
     std::vector<grant_record> records;
-    const bool draws = std::any_of(
+    const bool draw_due = std::any_of(
         accounts_.begin(), accounts_.end(),
-        [this, now](const auto& entry) { return is_low(now, entry.first, entry.second); });
+        [this, now](const auto& entry) { return needs_draw(now, entry.first, entry.second); });
     for (auto& [account, state] : accounts_) {
-        note_demand(now, state, 0);
-        const tokens change = change_for(now, account, state, draws);
-        state.returning = std::max(state.returning, -change);
-        const grant present = table_.find(key_of(account));
-        const grant next = next_grant(account, state, present, change);
-        const bool untold = next.spent != present.spent && others_wait_for(account);
-        if (change == 0 && !untold && !is_news(present, next.wanted)) {
+        record_demand(now, state, 0);
+        const tokens change = planned_change(now, account, state, draw_due);
+        state.pending_return = std::max(state.pending_return, -change);
+        const grant current = table_.find(key_of(account));
+        const grant next = next_grant(account, state, current, change);
+        const bool has_unreported_spend = next.spent != current.spent && others_need_more(account);
+        if (change == 0 && !has_unreported_spend && !is_significant_change(current, next.wanted)) {
             continue;
         }
         records.push_back({key_of(account), next});
@@ -321,22 +335,24 @@
     return records;
 }
 
-void grant_holder::resolved() {
+void grant_holder::on_append_resolved() {
     for (auto& [account, state] : accounts_) {
-        state.returning = 0;
+        state.pending_return = 0;
     }
 }
 
-/// True if a draw would serve a request that waits. Crumbs that serve nobody are left to others.
-bool grant_holder::can_serve_first(const std::string& account, const account_state& state) const {
-    const tokens held = free(account, state) + state.returning;
-    const bool waits = state.waiting > held;
-    return waits && held + available(account) >= state.first_waiting;
+/// True if a draw could serve the first waiting request. Amounts that are too small for it are left
+/// to other hosts.
+bool grant_holder::can_serve_first_waiting(const std::string& account,
+                                           const account_state& state) const {
+    const tokens balance = free_tokens(account, state) + state.pending_return;
+    const bool waits = state.waiting > balance;
+    return waits && balance + ungranted(account) >= state.first_waiting;
 }
 
-bool grant_holder::urgent() const {
+bool grant_holder::needs_immediate_draw() const {
     return std::any_of(accounts_.begin(), accounts_.end(), [this](const auto& entry) {
-        return can_serve_first(entry.first, entry.second);
+        return can_serve_first_waiting(entry.first, entry.second);
     });
 }
 
--- a/src/decision/grants/peer_distances.cpp
+++ b/src/decision/grants/peer_distances.cpp
@@ -6,45 +6,46 @@
 namespace wrenswitch {
 namespace {
 
-/// One answer's part in what is learnt: the eighth that is usual for round trips.
-constexpr int smoothing = 8;
+/// The weight of a sample is 1/8, as is usual for round trip estimates.
+constexpr int smoothing_divisor = 8;
 
-/// No way is taken for longer: requests' aims are some hundreds of ms, and who takes longer than
-/// this is in trouble, not far.
-constexpr microseconds longest_way = milliseconds(400);
+/// The upper bound of an estimate. Request objectives are some hundreds of ms, and a host that
+/// takes longer than this is failing rather than distant.
+constexpr microseconds max_round_trip = milliseconds(400);
 
 }  // namespace
 
-peer_distances::peer_distances(std::string own_region, microseconds start)
-    : own_region_(std::move(own_region)), start_(start) {}
+peer_round_trips::peer_round_trips(std::string own_region, microseconds initial)
+    : own_region_(std::move(own_region)), initial_(initial) {}
 
-bool peer_distances::is_far(std::string_view region) const {
+bool peer_round_trips::is_remote(std::string_view region) const {
     return !own_region_.empty() && !region.empty() && region != own_region_;
 }
 
-microseconds peer_distances::round_trip(std::string_view host, std::string_view region) const {
-    if (!is_far(region)) {
+microseconds peer_round_trips::round_trip(std::string_view host, std::string_view region) const {
+    if (!is_remote(region)) {
         return {};
     }
-    const auto known = learnt_.find(host);
-    return known == learnt_.end() ? start_ : known->second;
+    const auto known = measured_.find(host);
+    return known == measured_.end() ? initial_ : known->second;
 }
 
-void peer_distances::observe(std::string_view host, std::string_view region, microseconds took) {
-    if (!is_far(region)) {
+void peer_round_trips::observe(std::string_view host, std::string_view region,
+                               microseconds elapsed) {
+    if (!is_remote(region)) {
         return;
     }
-    const microseconds seen = std::clamp(took, microseconds(0), longest_way);
-    const auto [known, first] = learnt_.try_emplace(std::string(host), seen);
-    if (!first) {
-        known->second += (seen - known->second) / smoothing;
+    const microseconds sample = std::clamp(elapsed, microseconds(0), max_round_trip);
+    const auto [known, is_first] = measured_.try_emplace(std::string(host), sample);
+    if (!is_first) {
+        known->second += (sample - known->second) / smoothing_divisor;
     }
 }
 
-void peer_distances::forget(std::string_view host) {
-    const auto known = learnt_.find(host);
-    if (known != learnt_.end()) {
-        learnt_.erase(known);
+void peer_round_trips::remove(std::string_view host) {
+    const auto known = measured_.find(host);
+    if (known != measured_.end()) {
+        measured_.erase(known);
     }
 }
 
--- a/src/decision/placement/engine_placer.cpp
+++ b/src/decision/placement/engine_placer.cpp
@@ -8,69 +8,72 @@
 namespace wrenswitch {
 namespace {
 
-/// An engine's memory if the service doesn't say: enough for some long prompts.
-constexpr tokens assumed_memory = 200'000;
+/// An engine's memory if the service does not configure it: enough for several long prompts.
+constexpr tokens default_memory_tokens = 200'000;
 
-/// The time between events that is assumed before any was seen, in ms: streams on today's engines.
-constexpr double assumed_pace_ms = 30.0;
+/// The event interval assumed before any is observed, in ms: typical for streams of current
+/// engines.
+constexpr double default_event_interval_ms = 30.0;
 
-/// How soft the bound of the first event is: estimates are some tens of percent off.
-constexpr double first_event_softness = 0.2;
+/// The width of the logistic function for the first event, as a share of the objective: estimates
+/// are wrong by some tens of percent.
+constexpr double first_event_logistic_scale = 0.2;
 
-/// The time to set a copy up, in ms.
-constexpr double copy_start_ms = 4.0;
+/// The time to set up a copy, in ms.
+constexpr double copy_setup_ms = 4.0;
 
-/// What a token that is read costs, as a share of one that is asked for: engines' time for others.
-/// At 0.3 requests waited at engines that had read their prompts while others were idle; 0.2 is
-/// worth 0.012 and 0.003 on two days with trouble of 26 entries (four seeds), 0.000 to 0.025 on
-/// four days each of 4 and 4 entries (seven seeds), and nothing less anywhere; 0.1 no more than
-/// that.
-constexpr double reading_share = 0.2;
+/// The cost of a processed prompt token as a share of a requested one, since the engine time is
+/// lost to other requests. With 0.3, requests queued at engines that had cached their prompts while
+/// other engines were idle. In simulated days, 0.2 raised the score by 0.012 and 0.003 on two days
+/// with faults and 26 entries (four seeds), and by 0.000 to 0.025 on four days with 4 entries and
+/// another four with 4 entries (seven seeds), and lowered it on none. 0.1 gave no further gain.
+constexpr double prefill_cost_per_token = 0.2;
 
-/// The same for a token that is copied.
-constexpr double copying_share = 0.03;
+/// The cost of a copied token as a share of a requested one.
+constexpr double copy_cost_per_token = 0.03;
 
-/// What waiting for as long as the aim allows costs, as a share of the request: just enough to
-/// prefer the shorter of two waits that are both in time.
-constexpr double waiting_share = 0.02;
+/// The cost of waiting for the whole objective, as a share of the request: just enough to prefer
+/// the shorter of two acceptable waits.
+constexpr double wait_cost_share = 0.02;
 
-/// What a full engine costs, as a share of the request: just enough to spread requests.
-constexpr double crowding_share = 0.02;
+/// The cost of a full engine, as a share of the request: just enough to spread requests.
+constexpr double occupancy_cost_share = 0.02;
 
-/// What the engine that a session's requests meet at by hash is preferred by, as a share of the
-/// request: entries that know nothing of each other choose the same.
-constexpr double home_share = 0.01;
+/// The discount for a session's engine by rendezvous hashing, as a share of the request, so that
+/// entries choose the same engine without communication.
+constexpr double preferred_engine_discount = 0.01;
 
-/// What going to another region costs, as a share of the request, beside its time: the bytes there
-/// and back, and what one region's load in the other takes from its own.
-constexpr double crossing_share = 0.05;
+/// The cost of using another region, as a share of the request, in addition to the latency: the
+/// traffic between the regions and the capacity taken from the other region's own requests.
+constexpr double cross_region_cost_share = 0.05;
 
-/// Bounds of what one engine is taken to be slower than most: estimates beyond are no speed but
-/// trouble, which other terms see.
-constexpr double least_slowness = 0.5;
-constexpr double most_slowness = 5.0;
+/// Limits of an engine's slowness. Values beyond them indicate a fault, which other terms cover,
+/// rather than a speed.
+constexpr double min_slowness = 0.5;
+constexpr double max_slowness = 5.0;
 
-constexpr double ms_a_second = 1000.0;
+constexpr double ms_per_second = 1000.0;
 
-/// What is lost if an answer isn't worth anything: the tokens that it costs.
-double stake_of(const prompt_shape& shape) {
-    return static_cast<double>(shape.prompt + expected_output(shape));
+/// The loss if a response has no value: all the tokens that it costs.
+double expected_total_tokens(const prompt_profile& prompt) {
+    return static_cast<double>(prompt.prompt_tokens + expected_output(prompt));
 }
 
 }  // namespace
 
 engine_placer::engine_state& engine_placer::state_of(const std::string& service,
                                                      const std::string& target,
-                                                     const engine_shape& engine) {
+                                                     const engine_profile& engine) {
     engine_state& state = engines_[target];
     state.service = service;
-    state.memory.set_room(engine.memory > 0 ? engine.memory : assumed_memory);
+    state.cache.set_capacity(engine.memory_tokens > 0 ? engine.memory_tokens
+                                                      : default_memory_tokens);
     return state;
 }
 
 engine_choice engine_placer::choose(instant now, const std::string& service,
                                     std::span<const engine_candidate> candidates,
-                                    std::span<const engine_source> sources,
+                                    std::span<const copy_source> sources,
                                     const engine_request& request) {
     std::vector<engine_state*> states;
     states.reserve(candidates.size());
@@ -79,51 +82,55 @@
         states.push_back(known != engines_.end()
                              ? &known->second
                              : &state_of(service, std::string(candidate.id), request.engine));
-        states.back()->load.watch_bound(as_milliseconds(request.longest_pause));
+        states.back()->load.track_pause_bound(as_milliseconds(request.max_event_gap));
     }
-    learn_usual_pace(service, states);
-    const std::vector<asked> questions =
-        ask_by_region(candidates, sources, request, services_[service]);
+    update_median_event_interval(service, states);
+    const std::vector<region_context> contexts =
+        contexts_by_region(candidates, sources, request, services_[service]);
     engine_choice best;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
-        const auto question = std::find_if(
-            questions.begin(), questions.end(),
-            [&](const asked& each) { return each.region == candidates[index].region; });
-        engine_choice choice = price_at(now, candidates[index], *states[index], *question);
+        const auto context = std::find_if(
+            contexts.begin(), contexts.end(),
+            [&](const region_context& each) { return each.region == candidates[index].region; });
+        engine_choice choice = evaluate(now, candidates[index], *states[index], *context);
         choice.index = index;
-        if (index == 0 || choice.price.sum < best.price.sum) {
+        if (index == 0 || choice.cost.total < best.cost.total) {
             best = std::move(choice);
         }
     }
     return best;
 }
 
-std::vector<engine_placer::asked> engine_placer::ask_by_region(
-    std::span<const engine_candidate> candidates, std::span<const engine_source> sources,
+std::vector<engine_placer::region_context> engine_placer::contexts_by_region(
+    std::span<const engine_candidate> candidates, std::span<const copy_source> sources,
     const engine_request& request, const service_state& service) {
     std::map<std::string_view, std::vector<std::string_view>> regions;
     for (const engine_candidate& candidate : candidates) {
         regions[candidate.region].push_back(candidate.id);
     }
-    std::vector<asked> questions;
+    std::vector<region_context> contexts;
     for (const auto& [region, engines] : regions) {
-        asked question{
-            region, request, service, home_of(engines, request.shape), stake_of(request.shape),
-            0,      {}};
+        region_context context{region,
+                               request,
+                               service,
+                               session_engine(engines, request.prompt),
+                               expected_total_tokens(request.prompt),
+                               0,
+                               {}};
         if (request.engine.copy_ms_per_token > 0.0) {
-            find_keeper(question, sources);
+            select_copy_source(context, sources);
         }
-        questions.push_back(question);
+        contexts.push_back(context);
     }
-    return questions;
+    return contexts;
 }
 
-void engine_placer::learn_usual_pace(const std::string& service,
-                                     std::span<engine_state* const> states) {
+void engine_placer::update_median_event_interval(const std::string& service,
+                                                 std::span<engine_state* const> states) {
     std::vector<double> known;
     for (const engine_state* state : states) {
-        if (state->pace.known()) {
-            known.push_back(state->pace.gap_ms());
+        if (state->event_interval.is_known()) {
+            known.push_back(state->event_interval.interval_ms());
         }
     }
     if (known.empty()) {
@@ -131,203 +138,222 @@
     }
     const auto middle = known.begin() + static_cast<std::ptrdiff_t>(known.size() / 2);
     std::nth_element(known.begin(), middle, known.end());
-    services_[service].usual_pace_ms = *middle;
+    services_[service].median_event_interval_ms = *middle;
 }
 
-/// The engine that keeps most of the prompt. If none is known to keep any, the one that the session
-/// meets at by hash may, since other entries send there too.
-void engine_placer::find_keeper(asked& question, std::span<const engine_source> sources) const {
-    const kept_prompt most = most_kept(sources, question.region, question.request.shape);
-    question.keeper = most.kept > 0 ? most.engine : question.home;
-    question.most_kept = most.kept;
+/// Selects the engine with the longest cached prefix. If none is known, the session's engine by
+/// rendezvous hashing may have it cached, since other entries send there too.
+void engine_placer::select_copy_source(region_context& context,
+                                       std::span<const copy_source> sources) const {
+    const cached_prefix best =
+        longest_cached_prefix(sources, context.region, context.request.prompt);
+    context.source = best.cached_tokens > 0 ? best.engine : context.preferred_engine;
+    context.best_cached_tokens = best.cached_tokens;
 }
 
-engine_placer::kept_prompt engine_placer::most_kept(std::span<const engine_source> sources,
-                                                    std::string_view region,
-                                                    const prompt_shape& shape) const {
-    kept_prompt most;
-    for (const engine_source& source : sources) {
+engine_placer::cached_prefix engine_placer::longest_cached_prefix(
+    std::span<const copy_source> sources, std::string_view region,
+    const prompt_profile& prompt) const {
+    cached_prefix best;
+    for (const copy_source& source : sources) {
         if (source.region != region) {
             continue;
         }
         const auto found = engines_.find(source.id);
-        const tokens kept = found == engines_.end() ? 0 : found->second.memory.kept(shape);
-        if (kept > most.kept) {
-            most = {source.id, kept};
+        const tokens cached_tokens =
+            found == engines_.end() ? 0 : found->second.cache.cached_tokens(prompt);
+        if (cached_tokens > best.cached_tokens) {
+            best = {source.id, cached_tokens};
         }
     }
-    return most;
+    return best;
 }
 
-engine_choice engine_placer::price_at(instant now, const engine_candidate& candidate,
-                                      const engine_state& state, const asked& question) {
-    const prompt_shape& shape = question.request.shape;
-    const tokens kept = state.memory.kept(shape);
-    const bool copies = question.most_kept - kept >= least_copied;
-    const tokens copied = copies ? question.most_kept - kept : 0;
+engine_choice engine_placer::evaluate(instant now, const engine_candidate& candidate,
+                                      const engine_state& state, const region_context& context) {
+    const prompt_profile& prompt = context.request.prompt;
+    const tokens cached_tokens = state.cache.cached_tokens(prompt);
+    const bool copies = context.best_cached_tokens - cached_tokens >= min_copied_tokens;
+    const tokens copied = copies ? context.best_cached_tokens - cached_tokens : 0;
     engine_choice choice;
-    choice.unread = std::max<tokens>(0, shape.prompt - kept - copied);
-    const bool may_keep_more = question.most_kept == 0 && kept == 0;
-    if ((copies || may_keep_more) && question.keeper != candidate.id) {
-        choice.copy_from = question.keeper;
+    choice.uncached_tokens = std::max<tokens>(0, prompt.prompt_tokens - cached_tokens - copied);
+    const bool may_be_cached = context.best_cached_tokens == 0 && cached_tokens == 0;
+    if ((copies || may_be_cached) && context.source != candidate.id) {
+        choice.copy_from = context.source;
     }
-    choice.price = price(now, candidate, state, question, choice.unread, copied);
+    choice.cost = estimate_cost(now, candidate, state, context, choice.uncached_tokens, copied);
     return choice;
 }
 
-placement_price engine_placer::price(instant now, const engine_candidate& candidate,
-                                     const engine_state& state, const asked& question,
-                                     tokens unread, tokens copied) {
-    const engine_request& request = question.request;
-    const double stake = question.stake;
-    const double runs = static_cast<double>(state.load.runs());
+placement_cost engine_placer::estimate_cost(instant now, const engine_candidate& candidate,
+                                            const engine_state& state,
+                                            const region_context& context, tokens uncached_tokens,
+                                            tokens copied) {
+    const engine_request& request = context.request;
+    const double total_tokens = context.total_tokens;
+    const double attempts = static_cast<double>(state.load.attempts());
     const double slots = std::max(1U, candidate.slots);
-    placement_price price;
-    price.backlog_ms = state.load.backlog_ms(now);
-    price.first_event_ms = first_event_at(now, candidate, state, question, unread, copied);
-    price.pause_ms = pause_at(now, state, question.service, request, unread);
-    const double in_time = chance_in_time(now, state, question, price.first_event_ms);
-    const double preempted = chance_preempted(state, question);
-    price.lost_here = stake * (1.0 - in_time + candidate.failure_rate + preempted);
-    price.lost_beside = state.load.loss_by_pause(now, price.pause_ms);
-    const double engine_time =
-        reading_share * static_cast<double>(unread) + copying_share * static_cast<double>(copied);
-    const double aim = std::max(1.0, as_milliseconds(request.first_event_aim));
-    const double home = candidate.id == question.home ? home_share : 0.0;
-    const double crossing = candidate.way_ms > 0.0 ? crossing_share : 0.0;
-    const double preference = waiting_share * price.first_event_ms / aim +
-                              crowding_share * runs / slots + crossing - home;
-    price.sum = price.lost_here + price.lost_beside + engine_time + stake * preference;
-    return price;
+    placement_cost cost;
+    cost.backlog_ms = state.load.backlog_ms(now);
+    cost.first_event_ms =
+        estimate_first_event_ms(now, candidate, state, context, uncached_tokens, copied);
+    cost.pause_ms = estimate_pause_ms(now, state, context.service, request, uncached_tokens);
+    const double in_time = in_time_probability(now, state, context, cost.first_event_ms);
+    const double preempted = preemption_probability(state, context);
+    cost.own_cost = total_tokens * (1.0 - in_time + candidate.failure_rate + preempted);
+    cost.stream_cost = state.load.pause_cost(now, cost.pause_ms);
+    const double engine_time = prefill_cost_per_token * static_cast<double>(uncached_tokens) +
+                               copy_cost_per_token * static_cast<double>(copied);
+    const double objective_ms = std::max(1.0, as_milliseconds(request.first_event_objective));
+    const double discount =
+        candidate.id == context.preferred_engine ? preferred_engine_discount : 0.0;
+    const double cross_region = candidate.round_trip_ms > 0.0 ? cross_region_cost_share : 0.0;
+    const double preference = wait_cost_share * cost.first_event_ms / objective_ms +
+                              occupancy_cost_share * attempts / slots + cross_region - discount;
+    cost.total = cost.own_cost + cost.stream_cost + engine_time + total_tokens * preference;
+    return cost;
 }
 
-/// The time until the first event there, in ms.
-double engine_placer::first_event_at(instant now, const engine_candidate& candidate,
-                                     const engine_state& state, const asked& question,
-                                     tokens unread, tokens copied) {
-    const engine_request& request = question.request;
+/// The expected time to the first event on an engine, in ms.
+double engine_placer::estimate_first_event_ms(instant now, const engine_candidate& candidate,
+                                              const engine_state& state,
+                                              const region_context& context, tokens uncached_tokens,
+                                              tokens copied) {
+    const engine_request& request = context.request;
     const double slots = std::max(1U, candidate.slots);
-    const double beyond = static_cast<double>(state.load.runs()) - slots + 1.0;
-    const double answer = answer_ms(state, question.service, request);
-    const double slot_wait = std::max(0.0, beyond) * answer / slots;
+    const double excess_attempts = static_cast<double>(state.load.attempts()) - slots + 1.0;
+    const double response_duration_ms = response_ms(state, context.service, request);
+    const double slot_wait = std::max(0.0, excess_attempts) * response_duration_ms / slots;
     const double copying =
-        copied > 0 ? copy_start_ms + request.engine.copy_ms_per_token * static_cast<double>(copied)
+        copied > 0 ? copy_setup_ms + request.engine.copy_ms_per_token * static_cast<double>(copied)
                    : 0.0;
-    const double alone = question.service.model.first_event_ms(request.shape.prompt, unread);
-    const double before = std::max(candidate.wait_ms, state.load.backlog_ms(now));
-    return candidate.way_ms + before + state.load.overdue_ms(now) + slot_wait + copying +
-           slowness(state, question.service) * alone;
+    const double unloaded_ms =
+        context.service.model.first_event_ms(request.prompt.prompt_tokens, uncached_tokens);
+    const double wait_ms = std::max(candidate.wait_ms, state.load.backlog_ms(now));
+    return candidate.round_trip_ms + wait_ms + state.load.overdue_ms(now) + slot_wait + copying +
+           slowness(state, context.service) * unloaded_ms;
 }
 
-/// The chance that neither the first event nor a pause behind it comes late.
-double engine_placer::chance_in_time(instant now, const engine_state& state, const asked& question,
-                                     double first_event_ms) {
-    const engine_request& request = question.request;
-    const double late_first =
-        chance_late(first_event_ms, as_milliseconds(request.first_event_aim), first_event_softness);
-    const double answer = answer_ms(state, question.service, request);
+/// The probability that neither the first event nor a later pause is late.
+double engine_placer::in_time_probability(instant now, const engine_state& state,
+                                          const region_context& context, double first_event_ms) {
+    const engine_request& request = context.request;
+    const double first_event_late = late_probability(
+        first_event_ms, as_milliseconds(request.first_event_objective), first_event_logistic_scale);
+    const double response_duration_ms = response_ms(state, context.service, request);
     const double late_pauses =
-        state.load.late_pauses_per_second(now, as_milliseconds(request.longest_pause)) * answer /
-        ms_a_second;
-    return (1.0 - late_first) * std::exp(-late_pauses);
+        state.load.late_pauses_per_second(now, as_milliseconds(request.max_event_gap)) *
+        response_duration_ms / ms_per_second;
+    return (1.0 - first_event_late) * std::exp(-late_pauses);
 }
 
-/// The chance that the engine runs out of memory and takes the request's away.
-double engine_placer::chance_preempted(const engine_state& state, const asked& question) {
-    const tokens memory = question.request.engine.memory;
-    const auto room = static_cast<double>(memory > 0 ? memory : assumed_memory);
-    const double over = static_cast<double>(state.load.held()) + question.stake - room;
-    return std::clamp(over / std::max(1.0, question.stake), 0.0, 1.0);
+/// The probability that the engine runs out of memory and preempts the request.
+double engine_placer::preemption_probability(const engine_state& state,
+                                             const region_context& context) {
+    const tokens memory_tokens = context.request.engine.memory_tokens;
+    const auto capacity =
+        static_cast<double>(memory_tokens > 0 ? memory_tokens : default_memory_tokens);
+    const double excess =
+        static_cast<double>(state.load.memory_tokens()) + context.total_tokens - capacity;
+    return std::clamp(excess / std::max(1.0, context.total_tokens), 0.0, 1.0);
 }
 
-/// How much longer the target takes for everything than most of the service's targets.
+/// The factor by which the target is slower than the median of the service's targets.
 double engine_placer::slowness(const engine_state& state, const service_state& service) {
-    if (!state.pace.known() || service.usual_pace_ms <= 0.0) {
+    if (!state.event_interval.is_known() || service.median_event_interval_ms <= 0.0) {
         return 1.0;
     }
-    return std::clamp(state.pace.gap_ms() / service.usual_pace_ms, least_slowness, most_slowness);
+    return std::clamp(state.event_interval.interval_ms() / service.median_event_interval_ms,
+                      min_slowness, max_slowness);
 }
 
-/// Streams get one event while the engine reads as many pieces as the event has tokens. Prompts
-/// that are read one after the other count as one.
-double engine_placer::pause_at(instant now, const engine_state& state, const service_state& service,
-                               const engine_request& request, tokens unread) {
-    const double slow = slowness(state, service);
-    const tokens prompt = request.shape.prompt;
-    const double whole =
-        state.load.backlog_ms(now) + slow * service.model.reading_ms(prompt, unread);
-    const double longest =
-        slow * service.model.pause_ms(prompt, prompt, request.engine.tokens_per_event);
-    return std::min(whole, std::max(longest, state.load.pending_pause_ms(now)));
+/// Streams get one event while the engine processes as many prompt chunks as the event has tokens.
+/// Consecutive prefills count as one.
+double engine_placer::estimate_pause_ms(instant now, const engine_state& state,
+                                        const service_state& service, const engine_request& request,
+                                        tokens uncached_tokens) {
+    const double factor = slowness(state, service);
+    const tokens prompt_tokens = request.prompt.prompt_tokens;
+    const double total_ms = state.load.backlog_ms(now) +
+                            factor * service.model.prefill_ms(prompt_tokens, uncached_tokens);
+    const double longest_ms = factor * service.model.pause_ms(prompt_tokens, prompt_tokens,
+                                                              request.engine.tokens_per_event);
+    return std::min(total_ms, std::max(longest_ms, state.load.pending_pause_ms(now)));
 }
 
-/// How long the answer's events are expected to come, in ms.
-double engine_placer::answer_ms(const engine_state& state, const service_state& service,
-                                const engine_request& request) {
-    const double usual = service.usual_pace_ms > 0.0 ? service.usual_pace_ms : assumed_pace_ms;
-    const double pace = state.pace.known() ? state.pace.gap_ms() : usual;
-    const auto events = static_cast<double>(expected_output(request.shape)) /
+/// The expected duration of the response's events, in ms.
+double engine_placer::response_ms(const engine_state& state, const service_state& service,
+                                  const engine_request& request) {
+    const double typical = service.median_event_interval_ms > 0.0 ? service.median_event_interval_ms
+                                                                  : default_event_interval_ms;
+    const double event_interval =
+        state.event_interval.is_known() ? state.event_interval.interval_ms() : typical;
+    const auto events = static_cast<double>(expected_output(request.prompt)) /
                         static_cast<double>(std::max<tokens>(1, request.engine.tokens_per_event));
-    return events * pace;
+    return events * event_interval;
 }
 
-std::uint64_t engine_placer::begin(instant now, const std::string& service,
-                                   const std::string& target, const engine_request& request,
-                                   tokens unread, bool all_known) {
+std::uint64_t engine_placer::begin_attempt(instant now, const std::string& service,
+                                           const std::string& target, const engine_request& request,
+                                           tokens uncached_tokens, bool all_requests_known) {
     engine_state& state = state_of(service, target, request.engine);
-    const service_state& known = services_[service];
-    const bool alone = state.load.backlog_ms(now) <= 0.0;
-    const double reading =
-        slowness(state, known) * known.model.reading_ms(request.shape.prompt, unread);
-    const double pause = pause_at(now, state, known, request, unread);
-    const std::uint64_t number = ++last_number_;
-    const engine_run run{number, request.shape.prompt + expected_output(request.shape),
-                         stake_of(request.shape), as_milliseconds(request.longest_pause)};
-    state.load.begin(now, run, {number, reading, pause});
-    state.memory.remember(request.shape);
-    if (all_known && alone) {
-        state.watched[number] = {now, request.shape.prompt, unread};
+    const service_state& service_data = services_[service];
+    const bool was_idle = state.load.backlog_ms(now) <= 0.0;
+    const double prefill =
+        slowness(state, service_data) *
+        service_data.model.prefill_ms(request.prompt.prompt_tokens, uncached_tokens);
+    const double pause = estimate_pause_ms(now, state, service_data, request, uncached_tokens);
+    const std::uint64_t attempt_id = ++last_attempt_id_;
+    const active_attempt attempt{
+        attempt_id, request.prompt.prompt_tokens + expected_output(request.prompt),
+        expected_total_tokens(request.prompt), as_milliseconds(request.max_event_gap)};
+    state.load.add_attempt(now, attempt, {attempt_id, prefill, pause});
+    state.cache.insert(request.prompt);
+    if (all_requests_known && was_idle) {
+        state.timed_prefills[attempt_id] = {now, request.prompt.prompt_tokens, uncached_tokens};
     }
-    return number;
+    return attempt_id;
 }
 
-void engine_placer::first_event(instant now, std::string_view target, std::uint64_t number) {
+void engine_placer::record_first_event(instant now, std::string_view target,
+                                       std::uint64_t attempt_id) {
     const auto found = engines_.find(target);
     if (found == engines_.end()) {
         return;
     }
     engine_state& state = found->second;
-    state.load.first_event(now, number);
-    const auto watched = state.watched.find(number);
-    if (watched == state.watched.end()) {
+    state.load.record_first_event(now, attempt_id);
+    const auto timed = state.timed_prefills.find(attempt_id);
+    if (timed == state.timed_prefills.end()) {
         return;
     }
     service_state& service = services_[state.service];
-    const double took = as_milliseconds(now - watched->second.begun) / slowness(state, service);
-    service.model.observe(watched->second.prompt, watched->second.unread, took);
-    state.watched.erase(watched);
+    const double elapsed =
+        as_milliseconds(now - timed->second.started_at) / slowness(state, service);
+    service.model.observe(timed->second.prompt_tokens, timed->second.uncached_tokens, elapsed);
+    state.timed_prefills.erase(timed);
 }
 
-void engine_placer::next_events(instant now, std::string_view target, microseconds span) {
+void engine_placer::record_event_span(instant now, std::string_view target, microseconds span) {
     const auto found = engines_.find(target);
     if (found != engines_.end()) {
-        found->second.load.heard(now);
-        found->second.pace.observe(span);
+        found->second.load.record_event(now);
+        found->second.event_interval.observe(span);
     }
 }
 
-void engine_placer::end(instant now, std::string_view target, std::uint64_t number) {
+void engine_placer::end_attempt(instant now, std::string_view target, std::uint64_t attempt_id) {
     const auto found = engines_.find(target);
     if (found != engines_.end()) {
-        found->second.load.end(now, number);
-        found->second.watched.erase(number);
+        found->second.load.end_attempt(now, attempt_id);
+        found->second.timed_prefills.erase(attempt_id);
     }
 }
 
-double engine_placer::reading_ms(std::string_view service, tokens prompt) const {
+double engine_placer::prefill_ms(std::string_view service, tokens prompt_tokens) const {
     const auto found = services_.find(service);
-    return (found == services_.end() ? reading_model() : found->second.model)
-        .reading_ms(prompt, prompt);
+    return (found == services_.end() ? prefill_model() : found->second.model)
+        .prefill_ms(prompt_tokens, prompt_tokens);
 }
 
 std::string engine_placer::describe(instant now, std::string_view target) const {
@@ -337,13 +363,13 @@
     }
     const engine_state& state = found->second;
     const auto whole = [](double value) { return std::to_string(static_cast<long>(value)); };
-    return "runs=" + std::to_string(state.load.runs()) +
+    return "runs=" + std::to_string(state.load.attempts()) +
            ",backlog_ms=" + whole(state.load.backlog_ms(now)) +
            ",overdue_ms=" + whole(state.load.overdue_ms(now)) +
-           ",pace_ms=" + whole(state.pace.gap_ms());
+           ",pace_ms=" + whole(state.event_interval.interval_ms());
 }
 
-void engine_placer::forget(std::string_view target) {
+void engine_placer::remove_target(std::string_view target) {
     const auto found = engines_.find(target);
     if (found != engines_.end()) {
         engines_.erase(found);
--- a/src/decision/placement/event_pace.cpp
+++ b/src/decision/placement/event_pace.cpp
@@ -5,30 +5,30 @@
 namespace wrenswitch {
 namespace {
 
-/// The quantile's place among the spans that count: below the median, since many spans hold a pause
-/// in which a prompt is read.
-constexpr std::size_t quantile_at = 2;
+/// The index of the quantile among the sorted spans. Below the median, since many spans include a
+/// pause caused by a prefill.
+constexpr std::size_t quantile_index = 2;
 
-/// Spans after which the estimate can be used.
-constexpr std::size_t enough = 6;
+/// The number of spans needed for an estimate.
+constexpr std::size_t min_spans = 6;
 
 }  // namespace
 
-void event_pace::observe(microseconds span) {
-    last_ms_[seen_ % window] = as_milliseconds(span) / span_events;
-    seen_ += 1;
-    if (!known()) {
+void event_interval_estimator::observe(microseconds span) {
+    intervals_ms_[observed_ % window_size] = as_milliseconds(span) / events_per_span;
+    observed_ += 1;
+    if (!is_known()) {
         return;
     }
-    std::array<double, window> sorted = last_ms_;
-    const auto end = sorted.begin() + static_cast<std::ptrdiff_t>(std::min(seen_, window));
-    const auto place = sorted.begin() + static_cast<std::ptrdiff_t>(quantile_at);
+    std::array<double, window_size> sorted = intervals_ms_;
+    const auto end = sorted.begin() + static_cast<std::ptrdiff_t>(std::min(observed_, window_size));
+    const auto place = sorted.begin() + static_cast<std::ptrdiff_t>(quantile_index);
     std::nth_element(sorted.begin(), place, end);
-    gap_ms_ = *place;
+    interval_ms_ = *place;
 }
 
-bool event_pace::known() const {
-    return seen_ >= enough;
+bool event_interval_estimator::is_known() const {
+    return observed_ >= min_spans;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/placement/prompt_memory.cpp
+++ b/src/decision/placement/prompt_memory.cpp
@@ -2,41 +2,41 @@
 
 namespace wrenswitch {
 
-void prompt_memory::set_room(tokens room) {
-    room_ = room;
-    give_up_oldest();
+void prefix_cache_model::set_capacity(tokens capacity) {
+    capacity_ = capacity;
+    evict_to_capacity();
 }
 
-tokens prompt_memory::kept(const prompt_shape& shape) const {
-    tokens kept = 0;
-    for (const prompt_part& part : shape.parts) {
-        if (!by_id_.contains(part.id)) {
+tokens prefix_cache_model::cached_tokens(const prompt_profile& prompt) const {
+    tokens cached_tokens = 0;
+    for (const prompt_part& part : prompt.parts) {
+        if (!entries_.contains(part.id)) {
             break;
         }
-        kept += part.length;
+        cached_tokens += part.length;
     }
-    return kept;
+    return cached_tokens;
 }
 
-void prompt_memory::remember(const prompt_shape& shape) {
-    for (const prompt_part& part : shape.parts) {
-        const auto known = by_id_.find(part.id);
-        if (known != by_id_.end()) {
-            by_use_.splice(by_use_.begin(), by_use_, known->second);
+void prefix_cache_model::insert(const prompt_profile& prompt) {
+    for (const prompt_part& part : prompt.parts) {
+        const auto known = entries_.find(part.id);
+        if (known != entries_.end()) {
+            lru_.splice(lru_.begin(), lru_, known->second);
             continue;
         }
-        by_use_.push_front(part);
-        by_id_.emplace(part.id, by_use_.begin());
-        held_ += part.length;
+        lru_.push_front(part);
+        entries_.emplace(part.id, lru_.begin());
+        size_ += part.length;
     }
-    give_up_oldest();
+    evict_to_capacity();
 }
 
-void prompt_memory::give_up_oldest() {
-    while (held_ > room_ && !by_use_.empty()) {
-        held_ -= by_use_.back().length;
-        by_id_.erase(by_use_.back().id);
-        by_use_.pop_back();
+void prefix_cache_model::evict_to_capacity() {
+    while (size_ > capacity_ && !lru_.empty()) {
+        size_ -= lru_.back().length;
+        entries_.erase(lru_.back().id);
+        lru_.pop_back();
     }
 }
 
--- a/src/decision/placement/prompt_shape.cpp
+++ b/src/decision/placement/prompt_shape.cpp
@@ -6,16 +6,17 @@
 
 namespace wrenswitch {
 
-std::uint64_t session_of(const prompt_shape& shape) {
-    const std::size_t parts = shape.parts.size();
-    return shape.parts[parts > 1 ? parts - 2 : 0].id;
+std::uint64_t session_id(const prompt_profile& prompt) {
+    const std::size_t parts = prompt.parts.size();
+    return prompt.parts[parts > 1 ? parts - 2 : 0].id;
 }
 
-std::string_view home_of(std::span<const std::string_view> engines, const prompt_shape& shape) {
-    if (shape.parts.empty()) {
+std::string_view session_engine(std::span<const std::string_view> engines,
+                                const prompt_profile& prompt) {
+    if (prompt.parts.empty()) {
         return {};
     }
-    const std::uint64_t session = session_of(shape);
+    const std::uint64_t session = session_id(prompt);
     std::string_view best;
     std::uint64_t highest = 0;
     for (const std::string_view engine : engines) {
@@ -28,11 +29,11 @@
     return best;
 }
 
-tokens expected_output(const prompt_shape& shape) {
-    if (shape.guessed_output > 0) {
-        return std::min(shape.guessed_output, shape.most_output);
+tokens expected_output(const prompt_profile& prompt) {
+    if (prompt.output_hint > 0) {
+        return std::min(prompt.output_hint, prompt.max_output);
     }
-    return shape.most_output / 2;
+    return prompt.max_output / 2;
 }
 
 }  // namespace wrenswitch
--- a/src/decision/placement/reading_model.cpp
+++ b/src/decision/placement/reading_model.cpp
@@ -8,111 +8,114 @@
 constexpr double thousand = 1e3;
 constexpr double million = 1e6;
 
-/// What is assumed before anything was seen: an engine of today's usual kind, rather slow.
-constexpr double first_start_ms = 50.0;
-constexpr double first_ms_per_thousand = 33.0;
-constexpr double first_ms_per_million_pairs = 0.8;
+/// Initial weights: those of a rather slow current engine.
+constexpr double initial_setup_ms = 50.0;
+constexpr double initial_ms_per_thousand = 33.0;
+constexpr double initial_ms_per_million_pairs = 0.8;
 
-/// How far the first assumptions are trusted, as a standard deviation of each weight.
-constexpr double start_doubt = 30.0;
-constexpr double thousand_doubt = 15.0;
-constexpr double pairs_doubt = 0.5;
+/// The uncertainty of the initial weights, as standard deviations.
+constexpr double setup_std_dev = 30.0;
+constexpr double per_thousand_std_dev = 15.0;
+constexpr double per_million_pairs_std_dev = 0.5;
 
-/// The noise of one observation, in ms; a gateway's own delays are some ms.
-constexpr double noise = 20.0;
+/// The noise of an observation, in ms. The gateway itself adds some ms of delay.
+constexpr double observation_noise_ms = 20.0;
 
-/// How much of what was learnt stays with each observation: about the last 200 count.
-constexpr double memory = 0.995;
+/// The weight of past observations per update: about the last 200 count.
+constexpr double forgetting_factor = 0.995;
 
-/// The most doubt that forgetting may bring back, in times of the first doubt.
-constexpr double most_doubt = 1.0;
+/// The upper bound to which forgetting may raise a variance, relative to the initial variance.
+constexpr double max_variance_ratio = 1.0;
 
-/// An observation counts as no further from what was expected than this share of it.
-constexpr double most_surprise = 0.5;
+/// The maximum error of an observation, as a share of the expected time.
+constexpr double max_error_share = 0.5;
 
-/// Weights never leave these shares of the first assumptions.
-constexpr double least_share = 0.1;
-constexpr double most_share = 10.0;
+/// The range of each weight, relative to its initial value.
+constexpr double min_weight_ratio = 0.1;
+constexpr double max_weight_ratio = 10.0;
 
-/// The tokens of a prompt that an engine reads at a time, between tokens of its streams: the usual
-/// setting of engines that read prompts in pieces.
-constexpr double piece = 2048.0;
+/// The number of prompt tokens that an engine processes between two tokens of its streams: the
+/// usual setting for engines with chunked prefill.
+constexpr double prefill_chunk_tokens = 2048.0;
 
-constexpr std::array<double, 3> first_weights{first_start_ms, first_ms_per_thousand,
-                                              first_ms_per_million_pairs};
-constexpr std::array<double, 3> first_doubts{start_doubt, thousand_doubt, pairs_doubt};
+constexpr std::array<double, 3> initial_weights{initial_setup_ms, initial_ms_per_thousand,
+                                                initial_ms_per_million_pairs};
+constexpr std::array<double, 3> initial_std_devs{setup_std_dev, per_thousand_std_dev,
+                                                 per_million_pairs_std_dev};
 
 }  // namespace
 
-reading_model::reading_model() : weights_(first_weights) {
-    for (std::size_t at = 0; at < terms; ++at) {
-        covariance_[at][at] = first_doubts[at] * first_doubts[at];
+prefill_model::prefill_model() : weights_(initial_weights) {
+    for (std::size_t index = 0; index < terms; ++index) {
+        covariance_[index][index] = initial_std_devs[index] * initial_std_devs[index];
     }
 }
 
-reading_model::vector reading_model::features(tokens prompt, tokens unread) {
-    const auto read = static_cast<double>(unread);
-    const double depth = static_cast<double>(prompt) - read / 2;
-    return {1.0, read / thousand, read * std::max(0.0, depth) / million};
+prefill_model::vector prefill_model::features(tokens prompt_tokens, tokens uncached_tokens) {
+    const auto processed = static_cast<double>(uncached_tokens);
+    const double mean_context = static_cast<double>(prompt_tokens) - processed / 2;
+    return {1.0, processed / thousand, processed * std::max(0.0, mean_context) / million};
 }
 
-double reading_model::first_event_ms(tokens prompt, tokens unread) const {
-    return weights_[0] + reading_ms(prompt, unread);
+double prefill_model::first_event_ms(tokens prompt_tokens, tokens uncached_tokens) const {
+    return weights_[0] + prefill_ms(prompt_tokens, uncached_tokens);
 }
 
-double reading_model::reading_ms(tokens prompt, tokens unread) const {
-    const vector x = features(prompt, unread);
+double prefill_model::prefill_ms(tokens prompt_tokens, tokens uncached_tokens) const {
+    const vector x = features(prompt_tokens, uncached_tokens);
     return weights_[1] * x[1] + weights_[2] * x[2];
 }
 
-double reading_model::pause_ms(tokens prompt, tokens unread, tokens tokens_per_event) const {
-    const double most = piece * static_cast<double>(tokens_per_event);
-    const auto last = static_cast<tokens>(std::min(static_cast<double>(unread), most));
-    return reading_ms(prompt, last);
+double prefill_model::pause_ms(tokens prompt_tokens, tokens uncached_tokens,
+                               tokens tokens_per_event) const {
+    const double limit = prefill_chunk_tokens * static_cast<double>(tokens_per_event);
+    const auto last_chunks =
+        static_cast<tokens>(std::min(static_cast<double>(uncached_tokens), limit));
+    return prefill_ms(prompt_tokens, last_chunks);
 }
 
-void reading_model::observe(tokens prompt, tokens unread, double took_ms) {
-    const vector x = features(prompt, unread);
-    const double expected = first_event_ms(prompt, unread);
-    const double most = most_surprise * expected;
-    update(x, std::clamp(took_ms - expected, -most, most));
-    keep_in_bounds();
+void prefill_model::observe(tokens prompt_tokens, tokens uncached_tokens, double elapsed_ms) {
+    const vector x = features(prompt_tokens, uncached_tokens);
+    const double expected = first_event_ms(prompt_tokens, uncached_tokens);
+    const double limit = max_error_share * expected;
+    update(x, std::clamp(elapsed_ms - expected, -limit, limit));
+    clamp_parameters();
 }
 
 /// One step of recursive least squares with forgetting.
-void reading_model::update(const vector& x, double error) {
-    vector spread{};
-    double power = memory * noise * noise;
+void prefill_model::update(const vector& x, double error) {
+    vector gain{};
+    double innovation_variance = forgetting_factor * observation_noise_ms * observation_noise_ms;
     for (std::size_t row = 0; row < terms; ++row) {
         for (std::size_t column = 0; column < terms; ++column) {
-            spread[row] += covariance_[row][column] * x[column];
+            gain[row] += covariance_[row][column] * x[column];
         }
-        power += x[row] * spread[row];
+        innovation_variance += x[row] * gain[row];
     }
     for (std::size_t row = 0; row < terms; ++row) {
-        weights_[row] += spread[row] / power * error;
+        weights_[row] += gain[row] / innovation_variance * error;
     }
     for (std::size_t row = 0; row < terms; ++row) {
         for (std::size_t column = 0; column < terms; ++column) {
-            covariance_[row][column] -= spread[row] * spread[column] / power;
-            covariance_[row][column] /= memory;
+            covariance_[row][column] -= gain[row] * gain[column] / innovation_variance;
+            covariance_[row][column] /= forgetting_factor;
         }
     }
 }
 
-void reading_model::keep_in_bounds() {
-    for (std::size_t at = 0; at < terms; ++at) {
-        weights_[at] = std::clamp(weights_[at], least_share * first_weights[at],
-                                  most_share * first_weights[at]);
-        const double most = most_doubt * first_doubts[at] * first_doubts[at];
-        if (covariance_[at][at] > most) {
+void prefill_model::clamp_parameters() {
+    for (std::size_t index = 0; index < terms; ++index) {
+        weights_[index] = std::clamp(weights_[index], min_weight_ratio * initial_weights[index],
+                                     max_weight_ratio * initial_weights[index]);
+        const double limit = max_variance_ratio * initial_std_devs[index] * initial_std_devs[index];
+        if (covariance_[index][index] > limit) {
             // Scaling a row and its column keeps the matrix a covariance.
-            const double scale = most / covariance_[at][at];
+            const double scale = limit / covariance_[index][index];
             for (std::size_t other = 0; other < terms; ++other) {
-                covariance_[at][other] *= scale;
-                covariance_[other][at] *= scale;
+                covariance_[index][other] *= scale;
+                covariance_[other][index] *= scale;
             }
-            covariance_[at][at] = most;
+            covariance_[index][index] = limit;
         }
     }
 }
--- a/src/drivers/member_directory.cpp
+++ b/src/drivers/member_directory.cpp
@@ -16,35 +16,35 @@
 
 }  // namespace
 
-keyed_record encode_member(const ledger_member& member) {
+keyed_record encode_member(const cluster_member& member) {
     wire::Member value;
     value.set_process(raw(member.process));
     value.set_endpoint(member.endpoint);
     value.set_capacity(member.capacity);
     value.set_failure_domain(member.failure_domain);
     value.set_region(member.region);
-    value.set_store_call_us(static_cast<std::uint32_t>(member.store_call.count()));
+    value.set_store_call_us(static_cast<std::uint32_t>(member.store_latency.count()));
     return {member.host, value.SerializeAsString(), 0};
 }
 
-std::optional<ledger_member> decode_member(const keyed_record& record) {
+std::optional<cluster_member> decode_member(const keyed_record& record) {
     wire::Member value;
     const bool good = record.value && value.ParseFromString(*record.value) &&
                       !value.endpoint().empty() && value.capacity() >= 0.0;
     if (!good) {
         return std::nullopt;
     }
-    return ledger_member{record.key,
-                         incarnation_id{value.process()},
-                         value.endpoint(),
-                         value.capacity(),
-                         value.failure_domain(),
-                         value.region(),
-                         microseconds(value.store_call_us())};
+    return cluster_member{record.key,
+                          incarnation_id{value.process()},
+                          value.endpoint(),
+                          value.capacity(),
+                          value.failure_domain(),
+                          value.region(),
+                          microseconds(value.store_call_us())};
 }
 
 member_directory::member_directory(event_loop& loop, keyed_log& log, std::string name,
-                                   ledger_member own, member_directory_hooks hooks,
+                                   cluster_member own, member_directory_hooks hooks,
                                    bool times_store)
     : log_(log),
       name_(std::move(name)),
@@ -77,7 +77,7 @@
         hooks_.left(record.key);
         return;
     }
-    const std::optional<ledger_member> member = decode_member(record);
+    const std::optional<cluster_member> member = decode_member(record);
     if (!member) {
         log_event(log_level::error, "member_record_damaged",
                   {{"key", record.key}, {"offset", std::to_string(record.offset)}});
@@ -122,7 +122,7 @@
                       return;
                   }
                   if (page) {
-                      own_.store_call = std::max(monotonic_now() - begun, microseconds(1));
+                      own_.store_latency = std::max(monotonic_now() - begun, microseconds(1));
                   }
                   times_store_ = false;
                   timing_ = false;
--- a/src/experiment/budget_run.cpp
+++ b/src/experiment/budget_run.cpp
@@ -75,7 +75,7 @@
     std::vector<std::pair<incarnation_id, microseconds>> dead;
 };
 
-struct budget_run::running_request {
+struct budget_run::active_attempt {
     ticket used;
     std::size_t budget = 0;
     std::size_t site = 0;
@@ -373,7 +373,7 @@
     // The bound is at least 1.5 times the cost, whatever the draws; the cost is derived anew.
     const double share =
         1.0 / (least_bound_factor + random_.unit() * (most_bound_factor - least_bound_factor));
-    running_request request;
+    active_attempt request;
     request.used = granted;
     request.budget = budget;
     request.site = where.index;
@@ -399,7 +399,7 @@
 void budget_run::end_requests(microseconds now) {
     const auto ended =
         std::partition(running_.begin(), running_.end(),
-                       [now](const running_request& item) { return item.ends > now; });
+                       [now](const active_attempt& item) { return item.ends > now; });
     for (auto item = ended; item != running_.end(); ++item) {
         truth& known = budgets_[item->budget];
         known.reserved -= item->used.bound;
@@ -410,7 +410,7 @@
     running_.erase(ended, running_.end());
 }
 
-void budget_run::report(const running_request& ended, microseconds now) {
+void budget_run::report(const active_attempt& ended, microseconds now) {
     site& where = *sites_[ended.site];
     if (!where.up) {
         return;
@@ -460,14 +460,14 @@
 reclaim_operation budget_run::reclaim_of(incarnation_id holder) const {
     reclaim_operation reclaim;
     reclaim.holder = holder;
-    const auto list = [&](const running_request& item, bool runs) {
+    const auto list = [&](const active_attempt& item, bool runs) {
         if (item.used.holder != holder) {
             return;
         }
         reclaim.charges.push_back({item.used.budget, holder, item.used.key, item.used.id,
                                    runs ? item.used.bound : item.cost, runs});
     };
-    for (const running_request& item : running_) {
+    for (const active_attempt& item : running_) {
         list(item, true);
     }
     for (const auto& [id, item] : unsettled_) {
--- a/src/experiment/budget_run.hpp
+++ b/src/experiment/budget_run.hpp
@@ -53,7 +53,7 @@
 
 private:
     struct site;
-    struct running_request;
+    struct active_attempt;
     struct truth;
 
     void make_budgets();
@@ -66,7 +66,7 @@
     void begin(site& where, std::size_t budget, const ticket& granted, microseconds now);
     void refuse(std::size_t budget, tokens bound, microseconds now);
     void end_requests(microseconds now);
-    void report(const running_request& ended, microseconds now);
+    void report(const active_attempt& ended, microseconds now);
     void retry_reports(microseconds now);
     void crash(site& where, microseconds now);
     void revive(site& where, microseconds now);
@@ -87,9 +87,9 @@
     std::uint64_t log_bytes_ = 0;
     std::uint64_t appends_ = 0;
     ledger_state ledger_;
-    std::vector<running_request> running_;
+    std::vector<active_attempt> running_;
     /// Ended requests whose charge is not in the ledger.
-    std::unordered_map<ticket_id, running_request> unsettled_;
+    std::unordered_map<ticket_id, active_attempt> unsettled_;
     std::uint64_t next_request_ = 1;
     std::uint64_t next_key_ = 1;
     std::uint64_t next_incarnation_ = 1;
--- a/src/roles/gateway/forwarded_choice.cpp
+++ b/src/roles/gateway/forwarded_choice.cpp
@@ -21,7 +21,7 @@
 void forwarded_request::dispatch() {
     admitted_.regions =
         current_allowed_regions(context_.configuration, admitted_, request_.host, request_.path);
-    if (admitted_.engine && request_.prompt.prompt > 0 && !engine_request_) {
+    if (admitted_.engine && request_.prompt.prompt_tokens > 0 && !engine_request_) {
         engine_request_ = {request_.prompt,
                            *admitted_.engine,
                            admitted_.route.first_response_objective,
@@ -60,7 +60,7 @@
                       {});
         return;
     }
-    engine_request_->limits = limits;
+    engine_request_->constraints = limits;
     const unsigned choice = ++choices_;
     auto placing = context_.placements.place(
         admitted_.service, *engine_request_, left_out(), time_left(),
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -16,11 +16,11 @@
 constexpr microseconds plain_answer_time = milliseconds(600);
 
 /// What an engine was chosen by, for logs.
-std::string describe(const placement_price& price) {
+std::string describe(const placement_cost& price) {
     const auto whole = [](double value) { return std::to_string(static_cast<long>(value)); };
     return "first_event_ms=" + whole(price.first_event_ms) +
            ",backlog_ms=" + whole(price.backlog_ms) + ",pause_ms=" + whole(price.pause_ms) +
-           ",lost_here=" + whole(price.lost_here) + ",lost_beside=" + whole(price.lost_beside);
+           ",lost_here=" + whole(price.own_cost) + ",lost_beside=" + whole(price.stream_cost);
 }
 
 }  // namespace
@@ -69,7 +69,7 @@
         context_.urgencies.record(exchange_->received(), admitted_.service, admitted_.priority);
         const bool has_session = !request_.prompt.parts.empty();
         rollout_.belongs_to(admitted_.service, admitted_.route,
-                            has_session ? session_of(request_.prompt) : spread_hash(request_.id));
+                            has_session ? session_id(request_.prompt) : spread_hash(request_.id));
         return true;
     }
     const auto refusal = std::get<admission_refusal>(answer);
@@ -119,7 +119,7 @@
         return true;
     }
     const microseconds since = monotonic_now() - *context_.stopping_since;
-    const microseconds answer = request_.prompt.most_output * context_.settings.most_time_per_token;
+    const microseconds answer = request_.prompt.max_output * context_.settings.most_time_per_token;
     const microseconds needed =
         std::min<microseconds>(admitted_.route.timeout,
                                admitted_.engine ? engine_reading_time + answer : plain_answer_time);
@@ -182,14 +182,14 @@
         refuse(status_unavailable, "grants_unknown", until_configured);
         return;
     }
-    const tokens most = request_.prompt.prompt + request_.prompt.most_output;
+    const tokens most = request_.prompt.prompt_tokens + request_.prompt.max_output;
     tokens_asked_ = monotonic_now();
     trace_.add(tokens_asked_, "tokens_asked",
                {{"account", admitted_.account},
                 {"most", std::to_string(most)},
-                {"free", std::to_string(context_.grants.free(admitted_.account))},
-                {"available", std::to_string(context_.grants.available(admitted_.account))},
-                {"left_at_most", std::to_string(context_.grants.left_at_most(admitted_.account))},
+                {"free", std::to_string(context_.grants.free_tokens(admitted_.account))},
+                {"available", std::to_string(context_.grants.ungranted(admitted_.account))},
+                {"left_at_most", std::to_string(context_.grants.max_remaining(admitted_.account))},
                 {"limit", std::to_string(context_.grants.limit(admitted_.account))},
                 {"home", context_.tokens.describe_home(tokens_asked_, admitted_.account)},
                 {"ledger", context_.describe_ledger()}});
@@ -225,8 +225,8 @@
                context_.log_answers() ? until_tokens : context_.settings.until_log);
         return;
     }
-    charge_ = request_charge(context_.grants, admitted_.account, request_.prompt.prompt,
-                             request_.prompt.most_output);
+    charge_ = request_charge(context_.grants, admitted_.account, request_.prompt.prompt_tokens,
+                             request_.prompt.max_output);
     dispatch();
 }
 
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -36,7 +36,8 @@
 /// Unreadable limits of one configuration that are told one by one; all are counted.
 constexpr std::size_t most_told = 5;
 
-target_pool_settings pool_settings(const gateway_settings& settings, const token_homes& members) {
+target_pool_settings pool_settings(const gateway_settings& settings,
+                                   const token_allocator_selector& members) {
     target_pool_settings pool;
     pool.failure_domain = settings.failure_domain;
     pool.regions = settings.regions;
@@ -48,8 +49,8 @@
     };
     pool.peers.gateway_count = [&members] { return members.members(); };
     pool.peers.is_among_first = [&members](std::string_view target, std::size_t count) {
-        const std::vector<ledger_member> first = members.first_for(target, count);
-        return std::any_of(first.begin(), first.end(), [&members](const ledger_member& each) {
+        const std::vector<cluster_member> first = members.ranked_members(target, count);
+        return std::any_of(first.begin(), first.end(), [&members](const cluster_member& each) {
             return each.host == members.own_host();
         });
     };
@@ -57,16 +58,16 @@
     return pool;
 }
 
-token_home_settings home_settings(const gateway_settings& settings) {
-    token_home_settings homes;
+token_allocator_settings home_settings(const gateway_settings& settings) {
+    token_allocator_settings homes;
     homes.own_region = settings.regions.region_of(settings.failure_domain);
-    homes.far_round_trip = settings.far_round_trip;
+    homes.remote_round_trip = settings.far_round_trip;
     return homes;
 }
 
 /// Where engines are, if that makes a difference.
-engine_keepers::region_hook engine_regions(const gateway_settings& settings,
-                                           const target_pool& targets) {
+engine_coordinators::region_lookup engine_regions(const gateway_settings& settings,
+                                                  const target_pool& targets) {
     if (!settings.regions.has_multiple_regions()) {
         return {};
     }
@@ -197,7 +198,7 @@
     ledger_ = std::make_unique<grant_ledger>(
         loop_, *log_, dialect_.grant_log, metrics_,
         grant_ledger_hooks{[this] { return compose_grants(); }, [this] { grants_changed(); },
-                           [this] { grants_->resolved(); },
+                           [this] { grants_->on_append_resolved(); },
                            [this, told = reachable_hook(dialect_.grant_log)](bool reachable) {
                                grant_log_answers_ = reachable;
                                told(reachable);
@@ -211,17 +212,17 @@
 void gateway::open_exchange() {
     const std::string& reached_at =
         settings_.member_endpoint.empty() ? bus_->endpoint() : settings_.member_endpoint;
-    const ledger_member own{settings_.host,
-                            incarnation_,
-                            reached_at,
-                            settings_.capacity,
-                            settings_.failure_domain,
-                            std::string(settings_.regions.region_of(settings_.failure_domain)),
-                            {}};
+    const cluster_member own{settings_.host,
+                             incarnation_,
+                             reached_at,
+                             settings_.capacity,
+                             settings_.failure_domain,
+                             std::string(settings_.regions.region_of(settings_.failure_domain)),
+                             {}};
     members_ = std::make_unique<member_directory>(
         loop_, *log_, dialect_.member_log, own,
         member_directory_hooks{
-            [this](const ledger_member& member) {
+            [this](const cluster_member& member) {
                 homes_.apply(member);
                 log_event(log_level::information, "member_joined",
                           {{"host", member.host},
@@ -249,14 +250,15 @@
                 keeper_silent(host, others_answered);
             },
             [this](const std::string& host) { keeper_answered(host); },
-            [this](const ledger_member& keeper) { return homes_.round_trip(keeper); },
-            [this](const ledger_member& keeper, microseconds took) {
-                homes_.answered_after(keeper, took);
+            [this](const cluster_member& keeper) { return homes_.round_trip(keeper); },
+            [this](const cluster_member& keeper, microseconds took) {
+                homes_.record_round_trip(keeper, took);
             }});
     signals_ = std::make_unique<signal_exchange>(loop_, *bus_, homes_, targets_, events_, metrics_);
     rollouts_.open(loop_, *log_, *bus_, homes_, incarnation_);
-    grants_->draw_ahead_if(
-        [this](const std::string& account) { return homes_.is_home(monotonic_now(), account); });
+    grants_->set_draw_ahead_filter([this](const std::string& account) {
+        return homes_.is_allocator(monotonic_now(), account);
+    });
 }
 
 void gateway::open_suspects() {
@@ -523,14 +525,14 @@
 /// The keeper may be a home too; what is silent as one won't answer as the other. An entry that is
 /// late took 37 to 86 keepers in ten seconds for lost whose answers it hadn't read.
 void gateway::keeper_silent(const std::string& host, bool others_answered) {
-    if (others_answered && !link_.is_full() && homes_.failed(monotonic_now(), host)) {
+    if (others_answered && !link_.is_full() && homes_.record_failure(monotonic_now(), host)) {
         log_event(log_level::warning, "engine_keeper_lost", {{"keeper", host}});
     }
     peer_silent(host);
 }
 
 void gateway::keeper_answered(const std::string& host) {
-    if (homes_.answered(host)) {
+    if (homes_.record_answer(host)) {
         log_event(log_level::information, "engine_keeper_regained", {{"keeper", host}});
     }
 }
@@ -567,7 +569,7 @@
 
 void gateway::look_at_regions() {
     for (const region_status_change& news :
-         far_regions_.update(monotonic_now(), homes_.answers())) {
+         far_regions_.update(monotonic_now(), homes_.call_counts())) {
         if (news.unreachable) {
             metrics_.counter("gateway_regions_cut_off_total") += 1;
         }
@@ -581,7 +583,7 @@
         static_cast<double>(far_regions_.unreachable_count());
 }
 
-const engine_shape* gateway::engine_of(const std::string& service) const {
+const engine_profile* gateway::engine_of(const std::string& service) const {
     const gateway_service* known = configuration_.find_service(service);
     return known == nullptr || !known->engine ? nullptr : &*known->engine;
 }
@@ -607,7 +609,7 @@
 }
 
 std::vector<grant_record> gateway::compose_grants() {
-    std::vector<grant_record> records = grants_->compose(monotonic_now());
+    std::vector<grant_record> records = grants_->compose_records(monotonic_now());
     for (const grant_record& record : records) {
         const grant before = ledger_->table().find(record.key);
         events_.routine("grant_asked",
@@ -632,7 +634,7 @@
 
 void gateway::grants_changed() {
     waiters_->serve(monotonic_now());
-    if (grants_->urgent()) {
+    if (grants_->needs_immediate_draw()) {
         ledger_->append_if_due();
     }
 }
@@ -642,7 +644,7 @@
     flush_log();
     metrics_.counter("log_lines_unread_total") = dropped_log_lines();
     metrics_.gauge("store_generation") = static_cast<double>(log_->generation());
-    grants_->set_append_time(ledger_->append_time());
+    grants_->set_append_latency(ledger_->append_time());
     look_whether_isolated();
     look_at_regions();
     tokens_->open_ways();
--- a/src/roles/gateway/gateway.hpp
+++ b/src/roles/gateway/gateway.hpp
@@ -68,7 +68,7 @@
     bool isolated();
     void look_whether_isolated();
     void look_at_regions();
-    const engine_shape* engine_of(const std::string& service) const;
+    const engine_profile* engine_of(const std::string& service) const;
     std::vector<std::string> relay_endpoints() const;
     upstream_pool& pool_of(const gateway_target& target);
 
@@ -97,7 +97,7 @@
     std::unique_ptr<grant_holder> grants_;
     std::unique_ptr<token_waiters> waiters_;
     std::unique_ptr<member_directory> members_;
-    token_homes homes_;
+    token_allocator_selector homes_;
     region_outage_detector far_regions_;
     std::unique_ptr<token_exchange> tokens_;
 
@@ -106,7 +106,7 @@
     target_list list_;
     response_time_tracker plain_answers_;
     priority_tracker urgencies_;
-    engine_keepers keepers_;
+    engine_coordinators keepers_;
     lag_watch lag_;
     link_congestion_detector link_;
     std::unique_ptr<placement_desk> desk_;
--- a/src/roles/gateway/gateway_rollouts.cpp
+++ b/src/roles/gateway/gateway_rollouts.cpp
@@ -16,7 +16,7 @@
       entry_(exposed_share, counters) {}
 
 void gateway_rollouts::open(event_loop& loop, keyed_log& log, message_bus& bus,
-                            const token_homes& members, incarnation_id own) {
+                            const token_allocator_selector& members, incarnation_id own) {
     ledger_ = std::make_unique<rollout_ledger>(
         loop, log, dialect_.rollout_log, dialect_.status_log, counters_,
         rollout_ledger_hooks{
--- a/src/roles/gateway/gateway_rollouts.hpp
+++ b/src/roles/gateway/gateway_rollouts.hpp
@@ -33,8 +33,8 @@
 
     /// Opens the ways to the log and to other processes, which must outlive this. Nothing is sent
     /// before the first order.
-    void open(event_loop& loop, keyed_log& log, message_bus& bus, const token_homes& members,
-              incarnation_id own);
+    void open(event_loop& loop, keyed_log& log, message_bus& bus,
+              const token_allocator_selector& members, incarnation_id own);
 
     entry_rollouts& entry() { return entry_; }
 
--- a/src/roles/gateway/gateway_settings.cpp
+++ b/src/roles/gateway/gateway_settings.cpp
@@ -26,8 +26,9 @@
 grant_policy_settings read_grants(settings_reader& reader) {
     grant_policy_settings policy;
     policy.horizon = read_ms(reader, "grant_horizon_ms", policy.horizon, longest_wait_ms);
-    policy.held_share = reader.number_or("grant_held_share", policy.held_share, 0.0, 1.0);
-    policy.first_draw = reader.integer_or("grant_first_draw", policy.first_draw, 0, most_tokens);
+    policy.max_held_share = reader.number_or("grant_held_share", policy.max_held_share, 0.0, 1.0);
+    policy.initial_draw =
+        reader.integer_or("grant_first_draw", policy.initial_draw, 0, most_tokens);
     return policy;
 }
 
--- a/src/roles/gateway/incoming_request.cpp
+++ b/src/roles/gateway/incoming_request.cpp
@@ -43,7 +43,7 @@
         }
         request.deadline = milliseconds(*given);
     }
-    result<prompt_shape> prompt = dialect.read_prompt(head);
+    result<prompt_profile> prompt = dialect.read_prompt(head);
     if (!prompt) {
         return prompt.error();
     }
--- a/src/roles/gateway/incoming_request.hpp
+++ b/src/roles/gateway/incoming_request.hpp
@@ -20,7 +20,7 @@
     std::string key;
     /// How long the caller will wait, if it says so.
     std::optional<microseconds> deadline;
-    prompt_shape prompt;
+    prompt_profile prompt;
     /// The last event that the caller has of a stream that it resumes, or an empty text.
     std::string last_event;
 };
--- a/src/roles/gateway/keeper_reach.cpp
+++ b/src/roles/gateway/keeper_reach.cpp
@@ -21,7 +21,7 @@
     *alive_ = false;
 }
 
-void keeper_reach::answered(const ledger_member& keeper, instant asked) {
+void keeper_reach::answered(const cluster_member& keeper, instant asked) {
     const instant now = monotonic_now();
     heard_[keeper.host] = now;
     answered_ask_ = std::max(answered_ask_, asked);
@@ -36,12 +36,12 @@
     }
 }
 
-void keeper_reach::no_answer(std::uint64_t run, const ledger_member& keeper, instant asked) {
+void keeper_reach::no_answer(std::uint64_t run, const cluster_member& keeper, instant asked) {
     watch(keeper, asked);
     remember_late(run, keeper, asked);
 }
 
-void keeper_reach::watch(const ledger_member& keeper, instant asked) {
+void keeper_reach::watch(const cluster_member& keeper, instant asked) {
     const std::string& host = keeper.host;
     const auto heard = heard_.find(host);
     const bool answered_since = heard != heard_.end() && heard->second >= asked;
@@ -65,7 +65,7 @@
 
 /// What comes too late from a far keeper still tells how far it is, and that it isn't lost: else a
 /// way that became longer than what is waited for would never be learnt.
-void keeper_reach::remember_late(std::uint64_t run, const ledger_member& keeper, instant asked) {
+void keeper_reach::remember_late(std::uint64_t run, const cluster_member& keeper, instant asked) {
     if (hooks_.round_trip(keeper) == microseconds(0)) {
         return;
     }
--- a/src/roles/gateway/keeper_reach.hpp
+++ b/src/roles/gateway/keeper_reach.hpp
@@ -21,8 +21,8 @@
     struct hooks {
         std::function<void(const std::string& host, bool others_answered)> keeper_silent;
         std::function<void(const std::string& host)> keeper_answered;
-        std::function<microseconds(const ledger_member& keeper)> round_trip;
-        std::function<void(const ledger_member& keeper, microseconds took)> answered_after;
+        std::function<microseconds(const cluster_member& keeper)> round_trip;
+        std::function<void(const cluster_member& keeper, microseconds took)> answered_after;
     };
 
     /// All that is referred to must outlive this.
@@ -32,28 +32,30 @@
     keeper_reach& operator=(const keeper_reach&) = delete;
 
     /// The way to a keeper and back; zero if it is near.
-    microseconds round_trip(const ledger_member& keeper) const { return hooks_.round_trip(keeper); }
+    microseconds round_trip(const cluster_member& keeper) const {
+        return hooks_.round_trip(keeper);
+    }
 
     bool is_silent(const std::string& host) const { return silent_.contains(host); }
     const std::set<std::string>& silent() const { return silent_; }
 
     /// An ask that went out at this instant was answered in time.
-    void answered(const ledger_member& keeper, instant asked);
+    void answered(const cluster_member& keeper, instant asked);
 
     /// The answer to an ask came after it was given up.
     void answered_late(std::uint64_t run);
 
     /// An ask passed its time.
-    void no_answer(std::uint64_t run, const ledger_member& keeper, instant asked);
+    void no_answer(std::uint64_t run, const cluster_member& keeper, instant asked);
 
 private:
     struct late_ask {
-        ledger_member keeper;
+        cluster_member keeper;
         instant asked{};
     };
 
-    void watch(const ledger_member& keeper, instant asked);
-    void remember_late(std::uint64_t run, const ledger_member& keeper, instant asked);
+    void watch(const cluster_member& keeper, instant asked);
+    void remember_late(std::uint64_t run, const cluster_member& keeper, instant asked);
 
     event_loop& loop_;
     metrics& counters_;
--- a/src/roles/gateway/near_offer.cpp
+++ b/src/roles/gateway/near_offer.cpp
@@ -2,7 +2,7 @@
 
 namespace wrenswitch {
 
-near_offer offer_of(std::uint64_t run, const target_choice& choice, const ledger_member& keeper,
+near_offer offer_of(std::uint64_t run, const target_choice& choice, const cluster_member& keeper,
                     microseconds asked_for) {
     near_offer offer;
     offer.run = run;
--- a/src/roles/gateway/near_offer.hpp
+++ b/src/roles/gateway/near_offer.hpp
@@ -16,15 +16,15 @@
     std::string target;
     std::string copy_from;
     tokens unread = 0;
-    placement_price price;
+    placement_cost price;
     microseconds wait{};
     /// Empty if it was this entry itself.
-    ledger_member keeper;
+    cluster_member keeper;
     microseconds asked_for{};
 };
 
 /// An offer that keeps a choice over a change of the targets.
-near_offer offer_of(std::uint64_t run, const target_choice& choice, const ledger_member& keeper,
+near_offer offer_of(std::uint64_t run, const target_choice& choice, const cluster_member& keeper,
                     microseconds asked_for);
 
 /// The choice again. Without a target if that is forgotten.
--- a/src/roles/gateway/placement_codec.cpp
+++ b/src/roles/gateway/placement_codec.cpp
@@ -68,13 +68,13 @@
     wire::PlacementAsk ask;
     ask.set_run(run);
     ask.set_service(service);
-    ask.set_prompt(request.shape.prompt);
-    ask.set_most_output(request.shape.most_output);
-    ask.set_guessed_output(request.shape.guessed_output);
-    ask.set_first_event_aim_ms(whole_milliseconds(request.first_event_aim));
-    ask.set_longest_pause_ms(whole_milliseconds(request.longest_pause));
+    ask.set_prompt(request.prompt.prompt_tokens);
+    ask.set_most_output(request.prompt.max_output);
+    ask.set_guessed_output(request.prompt.output_hint);
+    ask.set_first_event_aim_ms(whole_milliseconds(request.first_event_objective));
+    ask.set_longest_pause_ms(whole_milliseconds(request.max_event_gap));
     ask.set_left_ms(static_cast<std::uint32_t>(whole_milliseconds(left)));
-    for (const prompt_part& part : request.shape.parts) {
+    for (const prompt_part& part : request.prompt.parts) {
         wire::PromptPart& told = *ask.add_parts();
         told.set_id(part.id);
         told.set_length(part.length);
@@ -82,25 +82,25 @@
     for (const std::string& target : tried) {
         ask.add_tried(target);
     }
-    set_limits(request.limits, ask);
-    ask.set_way_us(static_cast<std::uint32_t>(request.way.count()));
+    set_limits(request.constraints, ask);
+    ask.set_way_us(static_cast<std::uint32_t>(request.round_trip.count()));
     return ask;
 }
 
-engine_request from_wire(const wire::PlacementAsk& ask, const engine_shape& engine) {
+engine_request from_wire(const wire::PlacementAsk& ask, const engine_profile& engine) {
     engine_request request;
-    prompt_shape& shape = request.shape;
-    shape.prompt = ask.prompt();
-    shape.most_output = ask.most_output();
-    shape.guessed_output = ask.guessed_output();
+    prompt_profile& shape = request.prompt;
+    shape.prompt_tokens = ask.prompt();
+    shape.max_output = ask.most_output();
+    shape.output_hint = ask.guessed_output();
     for (const wire::PromptPart& part : ask.parts()) {
         shape.parts.push_back({part.id(), part.length()});
     }
     request.engine = engine;
-    request.first_event_aim = milliseconds(ask.first_event_aim_ms());
-    request.longest_pause = milliseconds(ask.longest_pause_ms());
-    request.limits = limits_from_wire(ask);
-    request.way = microseconds(ask.way_us());
+    request.first_event_objective = milliseconds(ask.first_event_aim_ms());
+    request.max_event_gap = milliseconds(ask.longest_pause_ms());
+    request.constraints = limits_from_wire(ask);
+    request.round_trip = microseconds(ask.way_us());
     return request;
 }
 
@@ -117,9 +117,9 @@
     answer.set_first_event_ms(static_cast<float>(choice.price.first_event_ms));
     answer.set_backlog_ms(static_cast<float>(choice.price.backlog_ms));
     answer.set_pause_ms(static_cast<float>(choice.price.pause_ms));
-    answer.set_lost_here(static_cast<float>(choice.price.lost_here));
-    answer.set_lost_beside(static_cast<float>(choice.price.lost_beside));
-    answer.set_sum(static_cast<float>(choice.price.sum));
+    answer.set_lost_here(static_cast<float>(choice.price.own_cost));
+    answer.set_lost_beside(static_cast<float>(choice.price.stream_cost));
+    answer.set_sum(static_cast<float>(choice.price.total));
     answer.set_wait_us(static_cast<std::uint32_t>(choice.wait.count()));
     return answer;
 }
@@ -132,9 +132,9 @@
     choice.price.first_event_ms = answer.first_event_ms();
     choice.price.backlog_ms = answer.backlog_ms();
     choice.price.pause_ms = answer.pause_ms();
-    choice.price.lost_here = answer.lost_here();
-    choice.price.lost_beside = answer.lost_beside();
-    choice.price.sum = answer.sum();
+    choice.price.own_cost = answer.lost_here();
+    choice.price.stream_cost = answer.lost_beside();
+    choice.price.total = answer.sum();
     choice.wait = microseconds(answer.wait_us());
     return choice;
 }
--- a/src/roles/gateway/placement_codec.hpp
+++ b/src/roles/gateway/placement_codec.hpp
@@ -18,7 +18,7 @@
                            microseconds left);
 
 /// What a keeper was asked, for engines of this kind.
-engine_request from_wire(const wire::PlacementAsk& ask, const engine_shape& engine);
+engine_request from_wire(const wire::PlacementAsk& ask, const engine_profile& engine);
 
 /// A keeper's choice, which may be none.
 wire::PlacementAnswer to_wire(std::uint64_t run, const target_choice& choice);
--- a/src/roles/gateway/placement_desk.cpp
+++ b/src/roles/gateway/placement_desk.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-placement_desk::placement_desk(target_pool& targets, engine_keepers& keepers, metrics& counters)
+placement_desk::placement_desk(target_pool& targets, engine_coordinators& keepers,
+                               metrics& counters)
     : targets_(targets), keepers_(keepers), counters_(counters) {}
 
 target_choice placement_desk::place(instant now, std::uint64_t run, const std::string& service,
@@ -47,12 +48,12 @@
 /// power two entries that took each other for lost gave it 21 turns in a second where it bears 9.6.
 bool placement_desk::may_offer(instant now, std::string_view engine) {
     const bool cold = targets_.is_cold(now, engine);
-    return cold ? keepers_.is_own_for_all(now, engine) : keepers_.is_own(now, engine);
+    return cold ? keepers_.coordinates_exclusively(now, engine) : keepers_.coordinates(now, engine);
 }
 
 /// An engine that was another entry's may have had turns from that one until now.
 void placement_desk::note_keepers(instant now) {
-    const std::uint64_t changes = keepers_.changes(now);
+    const std::uint64_t changes = keepers_.assignment_version(now);
     if (changes != seen_keepers_) {
         seen_keepers_ = changes;
         targets_.defer_cold_permits(now);
--- a/src/roles/gateway/placement_desk.hpp
+++ b/src/roles/gateway/placement_desk.hpp
@@ -33,7 +33,7 @@
 class placement_desk {
 public:
     /// All that is referred to must outlive the desk.
-    placement_desk(target_pool& targets, engine_keepers& keepers, metrics& counters);
+    placement_desk(target_pool& targets, engine_coordinators& keepers, metrics& counters);
 
     /// Chooses one of the engines that this entry keeps and counts the run, whose number is unique
     /// in the fleet, as begun there, for no longer than its caller still waits. Without a target if
@@ -77,7 +77,7 @@
     void note_keepers(instant now);
 
     target_pool& targets_;
-    engine_keepers& keepers_;
+    engine_coordinators& keepers_;
     metrics& counters_;
     std::map<std::uint64_t, kept_run> runs_;
     /// The state of the keepers for which turns at cold engines are given.
--- a/src/roles/gateway/placement_exchange.cpp
+++ b/src/roles/gateway/placement_exchange.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 placement_exchange::placement_exchange(event_loop& loop, message_bus& bus, target_pool& targets,
-                                       engine_keepers& keepers, placement_desk& desk,
+                                       engine_coordinators& keepers, placement_desk& desk,
                                        metrics& counters, hooks needs)
     : loop_(loop),
       bus_(bus),
@@ -69,16 +69,16 @@
         service, request, {tried.begin(), tried.end()}, left, std::move(chosen), wanted, {}, now,
         {},      {}};
     const std::string_view home = targets_.rendezvous_engine(now, service, request, tried);
-    const std::optional<ledger_member> keeper =
-        home.empty() ? std::nullopt : keepers_.keeper_of(now, home);
+    const std::optional<cluster_member> keeper =
+        home.empty() ? std::nullopt : keepers_.coordinator_of(now, home);
     if (!keeper || reach_.is_silent(keeper->host)) {
-        wish.keeper = keeper.value_or(ledger_member{});
+        wish.keeper = keeper.value_or(cluster_member{});
         choose_alone(run, std::move(wish));
         return wanted;
     }
     wish.keeper = *keeper;
-    wish.request.way = reach_.round_trip(*keeper);
-    if (keepers_.is_own(now, home)) {
+    wish.request.round_trip = reach_.round_trip(*keeper);
+    if (keepers_.coordinates(now, home)) {
         choose_at_own_desk(run, std::move(wish));
     } else {
         ask(run, std::move(wish));
@@ -125,7 +125,7 @@
 /// ask, so that a keeper is asked all the same, and more patiently.
 void placement_exchange::choose_alone(std::uint64_t run, pending_ask wish) {
     const instant now = monotonic_now();
-    wish.request.way = microseconds(0);
+    wish.request.round_trip = microseconds(0);
     const target_choice choice = targets_.pick_engine(
         now, wish.service, wish.request, wish.tried, [](std::string_view) { return true; },
         permit_share::fallback);
@@ -166,16 +166,16 @@
 /// request. True if the wish now waits for that.
 bool placement_exchange::ask_afar(const near_offer& offer, pending_ask& wish) {
     const instant now = monotonic_now();
-    const auto stake =
-        static_cast<double>(wish.request.shape.prompt + expected_output(wish.request.shape));
-    const double lost = offer.price.lost_here + offer.price.lost_beside;
+    const auto stake = static_cast<double>(wish.request.prompt.prompt_tokens +
+                                           expected_output(wish.request.prompt));
+    const double lost = offer.price.own_cost + offer.price.stream_cost;
     if (wish.offer || lost < loss_to_ask_afar * stake || now < no_ask_afar_until_) {
         return false;
     }
     const std::string_view engine = targets_.rendezvous_engine(
         now, wish.service, wish.request, wish.tried, rendezvous_scope::another_region);
-    const std::optional<ledger_member> keeper =
-        engine.empty() ? std::nullopt : keepers_.keeper_of(now, engine);
+    const std::optional<cluster_member> keeper =
+        engine.empty() ? std::nullopt : keepers_.coordinator_of(now, engine);
     const bool is_far = keeper && reach_.round_trip(*keeper) > microseconds(0);
     if (!is_far || reach_.is_silent(keeper->host)) {
         return false;
@@ -183,7 +183,7 @@
     counters_.counter("placement_asks_afar_total") += 1;
     wish.offer = offer;
     wish.keeper = *keeper;
-    wish.request.way = reach_.round_trip(*keeper);
+    wish.request.round_trip = reach_.round_trip(*keeper);
     ask(static_cast<std::uint64_t>(random_.next_id<incarnation_id>()), std::move(wish));
     return true;
 }
@@ -200,7 +200,7 @@
         take_back(offer);
         return;
     }
-    if (!targets_.is_usable(offer.target, wish.service, wish.request.limits)) {
+    if (!targets_.is_usable(offer.target, wish.service, wish.request.constraints)) {
         take_back(offer);
         choose_alone(offer.run, std::move(wish));
         return;
@@ -220,7 +220,8 @@
     wish.cold_keepers.push_back(wish.keeper.host);
     std::vector<std::string> passed_over = wish.cold_keepers;
     passed_over.insert(passed_over.end(), reach_.silent().begin(), reach_.silent().end());
-    const auto next = keepers_.another(monotonic_now(), passed_over, random_.unit());
+    const auto next =
+        keepers_.alternative_coordinator(monotonic_now(), passed_over, random_.unit());
     if (!next || wish.cold_keepers.size() >= most_cold_keepers) {
         wish.is_last = true;
         choose_alone(run, std::move(wish));
@@ -228,7 +229,7 @@
     }
     counters_.counter("placements_at_another_keeper_total") += 1;
     wish.keeper = *next;
-    wish.request.way = reach_.round_trip(*next);
+    wish.request.round_trip = reach_.round_trip(*next);
     if (next->host == keepers_.own_host()) {
         choose_at_own_desk(run, std::move(wish));
     } else {
@@ -254,7 +255,7 @@
 
 void placement_exchange::on_ask(const message_origin& origin, const wire::Envelope& message) {
     const wire::PlacementAsk& ask = message.placement_ask();
-    const engine_shape* engine = engine_of_(ask.service());
+    const engine_profile* engine = engine_of_(ask.service());
     target_choice choice;
     if (engine != nullptr) {
         const std::vector<std::string> tried(ask.tried().begin(), ask.tried().end());
@@ -268,7 +269,7 @@
 
 bool placement_exchange::may_use(const wire::PlacementAnswer& answer,
                                  const pending_ask& wish) const {
-    return targets_.is_usable(answer.target(), wish.service, wish.request.limits) &&
+    return targets_.is_usable(answer.target(), wish.service, wish.request.constraints) &&
            std::find(wish.tried.begin(), wish.tried.end(), answer.target()) == wish.tried.end();
 }
 
@@ -338,12 +339,12 @@
 /// The keeper's settings or its list may be older than this entry's.
 void placement_exchange::drop_forbidden_copy(const engine_request& request, target_choice& choice) {
     if (choice.copy_from == nullptr ||
-        targets_.may_copy(choice.copy_from->id, choice.target->id, request.limits.regions)) {
+        targets_.may_copy(choice.copy_from->id, choice.target->id, request.constraints.regions)) {
         return;
     }
     counters_.counter("placement_copies_forbidden_total") += 1;
     choice.copy_from = nullptr;
-    choice.uncached_tokens = request.shape.prompt;
+    choice.uncached_tokens = request.prompt.prompt_tokens;
 }
 
 /// A keeper of another region answered while one of the own region holds a place: the better one is
@@ -351,7 +352,7 @@
 void placement_exchange::choose_region(const wire::PlacementAnswer& answer, placed_run placed,
                                        pending_ask wish) {
     const bool better =
-        may_use(answer, wish) && answer.sum() < gain_to_cross * wish.offer->price.sum;
+        may_use(answer, wish) && answer.sum() < gain_to_cross * wish.offer->price.total;
     if (!better) {
         no_ask_afar_until_ = monotonic_now() + vain_rest;
         if (!answer.target().empty()) {
