--- a/src/roles/gateway/placement_exchange.hpp
+++ b/src/roles/gateway/placement_exchange.hpp
@@ -32,18 +32,18 @@
     /// What an exchange needs of its process.
     struct hooks {
         /// What the engines of a service are like, or null if that isn't known.
-        std::function<const engine_shape*(const std::string& service)> engine_of;
+        std::function<const engine_profile*(const std::string& service)> engine_of;
         /// A keeper says nothing. Only if asks that went out later were answered is it the keeper's
         /// silence and not this entry's own lateness.
         std::function<void(const std::string& host, bool others_answered)> keeper_silent;
         /// A keeper answered.
         std::function<void(const std::string& host)> keeper_answered;
         /// The way to a keeper and back; none if it is near.
-        std::function<microseconds(const ledger_member& keeper)> round_trip = [](const auto&) {
+        std::function<microseconds(const cluster_member& keeper)> round_trip = [](const auto&) {
             return microseconds(0);
         };
         /// A keeper answered after this time, in time or not.
-        std::function<void(const ledger_member& keeper, microseconds took)> answered_after =
+        std::function<void(const cluster_member& keeper, microseconds took)> answered_after =
             [](const auto&, microseconds) {};
     };
 
@@ -54,7 +54,7 @@
 
     /// All that is referred to must outlive the exchange.
     placement_exchange(event_loop& loop, message_bus& bus, target_pool& targets,
-                       engine_keepers& keepers, placement_desk& desk, metrics& counters,
+                       engine_coordinators& keepers, placement_desk& desk, metrics& counters,
                        hooks needs);
     ~placement_exchange();
     placement_exchange(const placement_exchange&) = delete;
@@ -88,7 +88,7 @@
         microseconds left{};
         choice_hook chosen;
         std::weak_ptr<handle> wanted;
-        ledger_member keeper;
+        cluster_member keeper;
         instant asked{};
         std::optional<near_offer> offer;
         /// Keepers whose engines are cold and have no turn in time.
@@ -114,10 +114,10 @@
     event_loop& loop_;
     message_bus& bus_;
     target_pool& targets_;
-    engine_keepers& keepers_;
+    engine_coordinators& keepers_;
     placement_desk& desk_;
     metrics& counters_;
-    std::function<const engine_shape*(const std::string& service)> engine_of_;
+    std::function<const engine_profile*(const std::string& service)> engine_of_;
     keeper_reach reach_;
     run_news_sender news_;
     random_source random_;
--- a/src/roles/gateway/rollout_desk.cpp
+++ b/src/roles/gateway/rollout_desk.cpp
@@ -13,9 +13,9 @@
 
 /// The hosts of some processes.
 std::string hosts_of(std::span<const incarnation_id> processes,
-                     std::span<const ledger_member> members) {
+                     std::span<const cluster_member> members) {
     std::string hosts;
-    for (const ledger_member& member : members) {
+    for (const cluster_member& member : members) {
         if (std::find(processes.begin(), processes.end(), member.process) != processes.end()) {
             hosts += (hosts.empty() ? "" : ",") + member.host;
         }
@@ -83,7 +83,7 @@
     });
 }
 
-void rollout_desk::decide(instant now, std::span<const ledger_member> members,
+void rollout_desk::decide(instant now, std::span<const cluster_member> members,
                           microseconds report_period) {
     // A process that doesn't know what the log holds could take an ended roll-out for a new one.
     if (!ledger_.live()) {
@@ -103,7 +103,7 @@
 }
 
 void rollout_desk::decide_one(instant now, service_desk& desk,
-                              std::span<const ledger_member> members, microseconds report_period) {
+                              std::span<const cluster_member> members, microseconds report_period) {
     const rollout_order& order = desk.decider.order();
     if (const rollout_record* record = ledger_.table().find(order.service)) {
         desk.decider.apply_record(now, *record);
@@ -113,7 +113,7 @@
     }
     std::vector<incarnation_id> processes;
     processes.reserve(members.size());
-    for (const ledger_member& member : members) {
+    for (const cluster_member& member : members) {
         processes.push_back(member.process);
     }
     const rollout_target_numbers targets = hooks_.targets_of(order);
@@ -143,7 +143,7 @@
 
 /// One line for each change of phase and each end that is wanted.
 void rollout_desk::note(instant now, service_desk& desk, const rollout_decision& decision,
-                        std::span<const ledger_member> members, microseconds report_period) {
+                        std::span<const cluster_member> members, microseconds report_period) {
     const bool phase_is_new =
         decision.directive && (!desk.stand || desk.stand->phase != decision.directive->phase);
     const bool wants_end =
--- a/src/roles/gateway/rollout_desk.hpp
+++ b/src/roles/gateway/rollout_desk.hpp
@@ -46,7 +46,7 @@
     bool take(instant now, told_rollout told);
 
     /// Decides all roll-outs; only the process that decides calls it.
-    void decide(instant now, std::span<const ledger_member> members, microseconds report_period);
+    void decide(instant now, std::span<const cluster_member> members, microseconds report_period);
 
     /// The word on a service as it was last decided here.
     const rollout_directive* stand_of(std::string_view service, std::uint64_t order) const;
@@ -66,12 +66,12 @@
         instant gauges_set{};
     };
 
-    void decide_one(instant now, service_desk& desk, std::span<const ledger_member> members,
+    void decide_one(instant now, service_desk& desk, std::span<const cluster_member> members,
                     microseconds report_period);
     void publish(const rollout_order& order);
     void set_gauges(service_desk& desk, const rollout_totals& sums);
     void note(instant now, service_desk& desk, const rollout_decision& decision,
-              std::span<const ledger_member> members, microseconds report_period);
+              std::span<const cluster_member> members, microseconds report_period);
 
     incarnation_id own_;
     double exposed_share_;
--- a/src/roles/gateway/rollout_exchange.cpp
+++ b/src/roles/gateway/rollout_exchange.cpp
@@ -63,7 +63,7 @@
         std::optional<instant> found_bad_since;
     };
 
-    state(event_loop& of_loop, message_bus& of_bus, const token_homes& of_members,
+    state(event_loop& of_loop, message_bus& of_bus, const token_allocator_selector& of_members,
           incarnation_id of_own, own_rollouts of_rollouts, rollout_ledger& of_ledger,
           metrics& of_counters, hooks needs)
         : loop(of_loop),
@@ -90,14 +90,14 @@
         return std::max(shortest_silence, silent_periods * report_period());
     }
 
-    bool is_passed_over(instant now, const ledger_member& member) const {
+    bool is_passed_over(instant now, const cluster_member& member) const {
         const auto found = silent.find(member.process);
         return member.process != own && found != silent.end() && found->second.until > now;
     }
 
     /// The largest member that answers this process; nothing if there is none.
-    std::optional<ledger_member> choose_decider(instant now) const {
-        for (ledger_member& member : members.largest(now, members.members())) {
+    std::optional<cluster_member> choose_decider(instant now) const {
+        for (cluster_member& member : members.largest_reachable(now, members.members())) {
             if (!is_passed_over(now, member)) {
                 return std::move(member);
             }
@@ -143,8 +143,8 @@
                   {{"host", decider.host}, {"waited_ms", millis_text(longest_silence())}});
     }
 
-    void follow(const std::optional<ledger_member>& chosen) {
-        const ledger_member next = chosen.value_or(ledger_member{});
+    void follow(const std::optional<cluster_member>& chosen) {
+        const cluster_member next = chosen.value_or(cluster_member{});
         if (next == decider) {
             return;
         }
@@ -232,7 +232,7 @@
     }
 
     void decide(instant now) {
-        desk.decide(now, members.largest_of_all(members.members()), report_period());
+        desk.decide(now, members.largest_known(members.members()), report_period());
         for (const rollout_directive& stand : desk.stands()) {
             rollouts.told(now, stand);
         }
@@ -338,14 +338,14 @@
 
     event_loop& loop;
     message_bus& bus;
-    const token_homes& members;
+    const token_allocator_selector& members;
     incarnation_id own;
     own_rollouts rollouts;
     rollout_ledger& ledger;
     metrics& counters;
     rollout_desk desk;
     /// Whom this process follows, and whether that is itself.
-    ledger_member decider;
+    cluster_member decider;
     bool is_decider = false;
     /// Deciders that didn't answer.
     std::map<incarnation_id, rest> silent;
@@ -359,9 +359,10 @@
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
-rollout_exchange::rollout_exchange(event_loop& loop, message_bus& bus, const token_homes& members,
-                                   incarnation_id own, own_rollouts rollouts,
-                                   rollout_ledger& ledger, metrics& counters, hooks needs)
+rollout_exchange::rollout_exchange(event_loop& loop, message_bus& bus,
+                                   const token_allocator_selector& members, incarnation_id own,
+                                   own_rollouts rollouts, rollout_ledger& ledger, metrics& counters,
+                                   hooks needs)
     : state_(std::make_unique<state>(loop, bus, members, own, std::move(rollouts), ledger, counters,
                                      std::move(needs))) {}
 
--- a/src/roles/gateway/rollout_exchange.hpp
+++ b/src/roles/gateway/rollout_exchange.hpp
@@ -36,12 +36,12 @@
     };
 
     /// All that is referred to must outlive the exchange.
-    rollout_exchange(event_loop& loop, message_bus& bus, const token_homes& members,
+    rollout_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
                      incarnation_id own, own_rollouts rollouts, rollout_ledger& ledger,
                      metrics& counters, hooks needs);
 
     /// The same for a process's own roll-outs as they are.
-    rollout_exchange(event_loop& loop, message_bus& bus, const token_homes& members,
+    rollout_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
                      incarnation_id own, entry_rollouts& rollouts, rollout_ledger& ledger,
                      metrics& counters, hooks needs)
         : rollout_exchange(loop, bus, members, own, view_of(rollouts), ledger, counters,
--- a/src/roles/gateway/signal_exchange.cpp
+++ b/src/roles/gateway/signal_exchange.cpp
@@ -58,8 +58,9 @@
 
 }  // namespace
 
-signal_exchange::signal_exchange(event_loop& loop, message_bus& bus, const token_homes& members,
-                                 target_pool& targets, event_log& events, metrics& counters)
+signal_exchange::signal_exchange(event_loop& loop, message_bus& bus,
+                                 const token_allocator_selector& members, target_pool& targets,
+                                 event_log& events, metrics& counters)
     : loop_(loop),
       bus_(bus),
       members_(members),
@@ -176,7 +177,7 @@
     const std::vector<std::string> targets(untold.begin(), untold.end());
     wire::Envelope message;
     *message.mutable_target_signals() = signals_of(monotonic_now(), targets);
-    for (const ledger_member& member : members_.largest_of_all(members_.members())) {
+    for (const cluster_member& member : members_.largest_known(members_.members())) {
         if (member.host != members_.own_host()) {
             bus_.send(member.endpoint, message);
             counters_.counter("gateway_target_signal_messages_total") += 1;
@@ -276,13 +277,13 @@
     std::map<std::string, wire::Envelope> asks;
     for (const std::string& target : targets_.limits().stale_targets(now, longest_unheard)) {
         const double limit = targets_.limits().limit_of(target).value_or(0.0);
-        std::vector<ledger_member> senders =
-            members_.first_for(target, advertised_limits::max_senders(limit));
-        std::erase_if(senders, [this](const ledger_member& each) {
+        std::vector<cluster_member> senders =
+            members_.ranked_members(target, advertised_limits::max_senders(limit));
+        std::erase_if(senders, [this](const cluster_member& each) {
             return each.host == members_.own_host();
         });
         if (!senders.empty()) {
-            const ledger_member& asked = senders[random_.below(senders.size())];
+            const cluster_member& asked = senders[random_.below(senders.size())];
             asks[asked.endpoint].mutable_target_signals()->add_asked(target);
         }
     }
--- a/src/roles/gateway/signal_exchange.hpp
+++ b/src/roles/gateway/signal_exchange.hpp
@@ -31,7 +31,7 @@
 class signal_exchange {
 public:
     /// All that is referred to must outlive this.
-    signal_exchange(event_loop& loop, message_bus& bus, const token_homes& members,
+    signal_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
                     target_pool& targets, event_log& events, metrics& counters);
     ~signal_exchange();
     signal_exchange(const signal_exchange&) = delete;
@@ -66,7 +66,7 @@
 
     event_loop& loop_;
     message_bus& bus_;
-    const token_homes& members_;
+    const token_allocator_selector& members_;
     target_pool& targets_;
     event_log& events_;
     metrics& counters_;
--- a/src/roles/gateway/stream_watch.hpp
+++ b/src/roles/gateway/stream_watch.hpp
@@ -39,11 +39,11 @@
 
     /// The time that the events of the last span took, once it is complete.
     std::optional<microseconds> take_span() {
-        if (span_events_ < event_pace::span_events) {
+        if (span_events_ < event_interval_estimator::events_per_span) {
             return std::nullopt;
         }
         const microseconds whole = last_ - std::exchange(span_began_, last_);
-        return whole * event_pace::span_events / std::exchange(span_events_, 0);
+        return whole * event_interval_estimator::events_per_span / std::exchange(span_events_, 0);
     }
 
     /// The events that came in the present attempt.
--- a/src/roles/gateway/suspect_exchange.cpp
+++ b/src/roles/gateway/suspect_exchange.cpp
@@ -55,8 +55,8 @@
 }  // namespace
 
 suspect_exchange::suspect_exchange(event_loop& loop, keyed_log& log, std::string log_name,
-                                   message_bus& bus, const token_homes& members, metrics& counters,
-                                   hooks called)
+                                   message_bus& bus, const token_allocator_selector& members,
+                                   metrics& counters, hooks called)
     : loop_(loop),
       bus_(bus),
       members_(members),
@@ -231,7 +231,7 @@
         return;
     }
     const wire::Envelope message = news_of(ends, cleared);
-    for (const ledger_member& member : members_.largest_of_all(members_.members())) {
+    for (const cluster_member& member : members_.largest_known(members_.members())) {
         if (member.host != members_.own_host()) {
             bus_.send(member.endpoint, message);
         }
@@ -286,7 +286,7 @@
         return;
     }
     counters_.counter("gateway_suspect_ends_dropped_total") += dropped.size();
-    const std::vector<ledger_member> largest = members_.largest(now, 1);
+    const std::vector<cluster_member> largest = members_.largest_reachable(now, 1);
     if (!largest.empty() && largest.front().host == members_.own_host()) {
         log_.drop(dropped);
     }
--- a/src/roles/gateway/suspect_exchange.hpp
+++ b/src/roles/gateway/suspect_exchange.hpp
@@ -30,7 +30,7 @@
 
     /// All that is referred to must outlive the exchange.
     suspect_exchange(event_loop& loop, keyed_log& log, std::string log_name, message_bus& bus,
-                     const token_homes& members, metrics& counters, hooks called);
+                     const token_allocator_selector& members, metrics& counters, hooks called);
     ~suspect_exchange();
     suspect_exchange(const suspect_exchange&) = delete;
     suspect_exchange& operator=(const suspect_exchange&) = delete;
@@ -80,7 +80,7 @@
 
     event_loop& loop_;
     message_bus& bus_;
-    const token_homes& members_;
+    const token_allocator_selector& members_;
     metrics& counters_;
     hooks hooks_;
     random_source random_;
--- a/src/roles/gateway/token_exchange.cpp
+++ b/src/roles/gateway/token_exchange.cpp
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-token_exchange::token_exchange(event_loop& loop, message_bus& bus, token_homes& homes,
+token_exchange::token_exchange(event_loop& loop, message_bus& bus, token_allocator_selector& homes,
                                grant_holder& grants, token_waiters& waiters, metrics& counters,
                                token_exchange_settings settings, hooks needs)
     : loop_(loop),
@@ -64,19 +64,19 @@
 }
 
 std::string token_exchange::describe_home(instant now, const std::string& account) const {
-    const auto home = homes_.home_of(now, account);
+    const auto home = homes_.allocator_of(now, account);
     return home ? home->host : "none";
 }
 
 /// A wait is worth while only if the tokens are there to be drawn; else they would have to come
 /// from other hosts.
 microseconds token_exchange::wait_for(const std::string& account, tokens amount) const {
-    return grants_.available(account) >= amount ? settings_.wait : settings_.short_wait;
+    return grants_.ungranted(account) >= amount ? settings_.wait : settings_.short_wait;
 }
 
 token_exchange::wait_result token_exchange::reserve(instant now, const std::string& account,
                                                     tokens amount, answer_hook told) {
-    if (!waiters_.waits(account) && grants_.free(account) >= amount &&
+    if (!waiters_.waits(account) && grants_.free_tokens(account) >= amount &&
         grants_.reserve(now, account, amount) == reserve_outcome::reserved) {
         return {reserve_outcome::reserved, nullptr};
     }
@@ -129,7 +129,7 @@
         reservation.followed += 1;
         if (reservation.wanted.expired()) {
             pending_.erase(found);
-        } else if (grants_.free(account) >= reservation.amount &&
+        } else if (grants_.free_tokens(account) >= reservation.amount &&
                    grants_.reserve(monotonic_now(), account, reservation.amount) ==
                        reserve_outcome::reserved) {
             finish(each, reserve_outcome::reserved);
@@ -157,7 +157,7 @@
 
 /// What an ask should bring beside what its own request needs.
 tokens token_exchange::wanted_ahead(std::uint64_t number, const std::string& account) const {
-    tokens sum = grants_.expected_need(monotonic_now(), account, asked_ahead);
+    tokens sum = grants_.expected_demand(monotonic_now(), account, asked_ahead);
     const auto leader = leaders_.find(account);
     const auto behind = followers_.find(account);
     if (leader == leaders_.end() || leader->second != number || behind == followers_.end()) {
@@ -172,7 +172,7 @@
 
 void token_exchange::ask_next(std::uint64_t number) {
     pending_reservation& present = pending_.at(number);
-    const auto home = homes_.home_of(monotonic_now(), present.account, present.tried);
+    const auto home = homes_.allocator_of(monotonic_now(), present.account, present.tried);
     const bool asks = home && present.tried.size() < settings_.most_homes_asked &&
                       home->host != homes_.own_host();
     if (asks) {
@@ -182,7 +182,7 @@
     }
 }
 
-void token_exchange::ask(std::uint64_t number, const ledger_member& home) {
+void token_exchange::ask(std::uint64_t number, const cluster_member& home) {
     pending_reservation& present = pending_.at(number);
     present.asked = home;
     present.asked_at = monotonic_now();
@@ -223,7 +223,7 @@
 void token_exchange::home_is_silent(std::uint64_t number) {
     const std::string home = pending_.at(number).asked.host;
     counters_.counter("token_homes_silent_total") += 1;
-    if (!hooks_.link_is_full() && homes_.failed(monotonic_now(), home)) {
+    if (!hooks_.link_is_full() && homes_.record_failure(monotonic_now(), home)) {
         log_event(log_level::warning, "token_home_lost", {{"home", home}});
     }
     hooks_.home_silent(home);
@@ -352,7 +352,7 @@
 
 /// Sets aside what an asker would take beside what it needs now, if that leaves as much here.
 tokens token_exchange::reserve_ahead(const std::string& account, tokens ahead) {
-    const tokens given = std::min(ahead, grants_.free(account) / 2);
+    const tokens given = std::min(ahead, grants_.free_tokens(account) / 2);
     const bool useful = given > 0 && !waiters_.waits(account);
     const bool reserved =
         useful && grants_.reserve(monotonic_now(), account, given) == reserve_outcome::reserved;
@@ -364,7 +364,7 @@
                                 reserve_outcome outcome) {
     const bool given = outcome == reserve_outcome::reserved;
     if (given) {
-        grants_.give(monotonic_now(), account, amount);
+        grants_.transfer_out(monotonic_now(), account, amount);
         counters_.counter("tokens_given_total") += static_cast<double>(amount);
     }
     bus_.answer(origin, make_answer(ask, account, given ? amount : 0, to_wire(outcome)));
@@ -404,19 +404,19 @@
 
 /// Only the first answer to an ask tells how far the home is: the next one waited for the ledger.
 void token_exchange::home_answered(pending_reservation& present) {
-    const ledger_member& home = present.asked;
-    if (homes_.answered(home.host)) {
+    const cluster_member& home = present.asked;
+    if (homes_.record_answer(home.host)) {
         log_event(log_level::information, "token_home_regained", {{"home", home.host}});
     }
     if (const instant asked = std::exchange(present.asked_at, {}); asked != instant{}) {
-        homes_.answered_after(home, monotonic_now() - asked);
+        homes_.record_round_trip(home, monotonic_now() - asked);
     }
 }
 
 void token_exchange::take_returned(const wire::Envelope& message) {
     for (const wire::TokenAmount& part : message.token_return().amounts()) {
         if (part.amount() > 0) {
-            grants_.receive(part.account(), part.amount());
+            grants_.transfer_in(part.account(), part.amount());
         }
     }
     waiters_.serve(monotonic_now());
@@ -432,7 +432,7 @@
 /// returned.
 void token_exchange::take_given(const wire::Envelope& message) {
     const wire::TokenAnswer& answer = message.token_answer();
-    grants_.receive(answer.account(), answer.amount());
+    grants_.transfer_in(answer.account(), answer.amount());
     const auto found = pending_.find(answer.ask());
     if (found == pending_.end() || found->second.waits_here) {
         counters_.counter("tokens_given_late_total") += static_cast<double>(answer.amount());
@@ -448,7 +448,7 @@
 /// took its first homes of another region for lost, 45 times in the first second.
 void token_exchange::open_ways() {
     std::set<std::string> wanted;
-    for (const ledger_member& home : homes_.far_homes()) {
+    for (const cluster_member& home : homes_.remote_allocators()) {
         wanted.insert(home.endpoint);
         if (!greeted_.contains(home.endpoint)) {
             wire::Envelope greeting;
@@ -461,10 +461,10 @@
 
 void token_exchange::return_free(instant now) {
     std::map<std::string, wire::Envelope> by_endpoint;
-    for (const std::string& account : grants_.accounts_with_free()) {
-        const auto home = homes_.home_of(now, account);
+    for (const std::string& account : grants_.accounts_with_free_tokens()) {
+        const auto home = homes_.allocator_of(now, account);
         const bool elsewhere = home && home->host != homes_.own_host();
-        const tokens free = elsewhere ? grants_.take_free(account) : 0;
+        const tokens free = elsewhere ? grants_.withdraw_free(account) : 0;
         if (free <= 0) {
             continue;
         }
--- a/src/roles/gateway/token_exchange.hpp
+++ b/src/roles/gateway/token_exchange.hpp
@@ -58,9 +58,9 @@
     };
 
     /// All that is referred to must outlive the exchange.
-    token_exchange(event_loop& loop, message_bus& bus, token_homes& homes, grant_holder& grants,
-                   token_waiters& waiters, metrics& counters, token_exchange_settings settings,
-                   hooks needs);
+    token_exchange(event_loop& loop, message_bus& bus, token_allocator_selector& homes,
+                   grant_holder& grants, token_waiters& waiters, metrics& counters,
+                   token_exchange_settings settings, hooks needs);
     ~token_exchange();
     token_exchange(const token_exchange&) = delete;
     token_exchange& operator=(const token_exchange&) = delete;
@@ -98,7 +98,7 @@
         std::weak_ptr<handle> wanted;
         std::vector<std::string> tried;
         /// The host that was asked last, and when.
-        ledger_member asked;
+        cluster_member asked;
         instant asked_at{};
         /// Counts what is waited for, so that a timer that was overtaken does nothing.
         unsigned step = 0;
@@ -116,7 +116,7 @@
     void follow_first(const std::string& account, std::span<const std::uint64_t> unserved);
     tokens wanted_ahead(std::uint64_t number, const std::string& account) const;
     void ask_next(std::uint64_t number);
-    void ask(std::uint64_t number, const ledger_member& home);
+    void ask(std::uint64_t number, const cluster_member& home);
     void wait_here(std::uint64_t number);
     void watch_silence(std::uint64_t number, microseconds longest);
     void home_is_silent(std::uint64_t number);
@@ -135,7 +135,7 @@
 
     event_loop& loop_;
     message_bus& bus_;
-    token_homes& homes_;
+    token_allocator_selector& homes_;
     grant_holder& grants_;
     token_waiters& waiters_;
     metrics& counters_;
--- a/tests/decision/gateway/admission_test.cpp
+++ b/tests/decision/gateway/admission_test.cpp
@@ -17,7 +17,7 @@
         result.routes = {route("/engine/", "llm", 1, false), route("/plain/", "app", 2, false),
                          route("/open/", "app", 0, true), route("/nowhere/", "", 0, true)};
         result.routes[3].splits.clear();
-        result.services = {{"llm", 10, engine_shape{}, {}}, {"app", 10, std::nullopt, {}}};
+        result.services = {{"llm", 10, engine_profile{}, {}}, {"app", 10, std::nullopt, {}}};
         result.accounts = {{"payer", {"key-1"}, 1, 5000, {}},
                            {"free", {"key-2"}, 9, std::nullopt, {}}};
         configuration.apply(result);
--- a/tests/decision/gateway/configuration_view_test.cpp
+++ b/tests/decision/gateway/configuration_view_test.cpp
@@ -17,7 +17,7 @@
         result.version = number;
         result.routes = {route("outer", "/a/"), route("inner", "/a/b/")};
         result.accounts = {{"tenant", {"key-1", "key-2"}, 0, std::nullopt, {}}};
-        result.services = {{"llm", 10, engine_shape{}, {}}};
+        result.services = {{"llm", 10, engine_profile{}, {}}};
         return result;
     }
 
--- a/tests/decision/gateway/region_watch_test.cpp
+++ b/tests/decision/gateway/region_watch_test.cpp
@@ -13,17 +13,17 @@
 /// one with a single gateway.
 struct region_outage_fixture {
     region_outage_detector detector{"north"};
-    std::vector<member_answers> members{{"n1", "north", 0, 0}, {"s1", "south", 0, 0},
-                                        {"s2", "south", 0, 0}, {"s3", "south", 0, 0},
-                                        {"w1", "west", 0, 0},  {"x1", "", 0, 0}};
+    std::vector<member_call_counts> members{{"n1", "north", 0, 0}, {"s1", "south", 0, 0},
+                                            {"s2", "south", 0, 0}, {"s3", "south", 0, 0},
+                                            {"w1", "west", 0, 0},  {"x1", "", 0, 0}};
     instant now = start;
 
-    member_answers& member(std::string_view host) {
+    member_call_counts& member(std::string_view host) {
         return *std::find_if(members.begin(), members.end(),
                              [host](const auto& item) { return item.host == host; });
     }
 
-    void fail(std::string_view host) { member(host).silences += 1; }
+    void fail(std::string_view host) { member(host).failures += 1; }
     void respond(std::string_view host) { member(host).answers += 1; }
 
     std::vector<region_status_change> update(microseconds later = {}) {
--- a/tests/decision/gateway/regional_targets_test.cpp
+++ b/tests/decision/gateway/regional_targets_test.cpp
@@ -48,9 +48,9 @@
     /// Processing the shared part takes about 25 ms for 500 tokens and 200 ms for 6,000.
     static engine_request prompt(std::uint64_t session, tokens shared) {
         engine_request request;
-        request.shape = {shared + 500, 100, 50, {{session, shared}, {session + 1, 500}}};
+        request.prompt = {shared + 500, 100, 50, {{session, shared}, {session + 1, 500}}};
         request.engine = {3, 200'000, 0.002};
-        request.first_event_aim = milliseconds(600);
+        request.first_event_objective = milliseconds(600);
         return request;
     }
 
@@ -65,7 +65,7 @@
 
     void process_at(const std::string& engine, const engine_request& request) {
         const std::uint64_t attempt_number =
-            pool.begin_attempt(now, engine, request, request.shape.prompt, true);
+            pool.begin_attempt(now, engine, request, request.prompt.prompt_tokens, true);
         pool.end_attempt(now, engine, attempt_number);
     }
 
@@ -116,9 +116,9 @@
 
 BOOST_AUTO_TEST_CASE(rendezvous_engine_of_restricted_request_is_in_allowed_region) {
     engine_request restricted = prompt(1, 500);
-    restricted.limits.regions = {{"south"}};
+    restricted.constraints.regions = {{"south"}};
     BOOST_TEST(pool.region_of(pool.rendezvous_engine(now, "engine", restricted, {})) == "south");
-    restricted.limits.regions = {{"north"}};
+    restricted.constraints.regions = {{"north"}};
     BOOST_TEST(
         pool.rendezvous_engine(now, "engine", restricted, {}, rendezvous_scope::another_region)
             .empty());
@@ -150,12 +150,12 @@
     };
     const target_choice near_choice =
         pool.pick_engine(now, "engine", request, {}, is_in_own_region, permit_share::coordinator);
-    BOOST_TEST(near_choice.uncached_tokens == request.shape.prompt);
+    BOOST_TEST(near_choice.uncached_tokens == request.prompt.prompt_tokens);
     BOOST_TEST(
         (near_choice.copy_from == nullptr || pool.region_of(near_choice.copy_from->id) == "north"));
     target_choice improved = near_choice;
     pool.improve_copy_source(now, request, improved);
-    BOOST_TEST(improved.uncached_tokens == request.shape.prompt);
+    BOOST_TEST(improved.uncached_tokens == request.prompt.prompt_tokens);
     const auto is_other = [](std::string_view id) { return id == "e2-s2"; };
     const target_choice far_choice =
         pool.pick_engine(now, "engine", request, {}, is_other, permit_share::coordinator);
--- a/tests/decision/gateway/target_pool_test.cpp
+++ b/tests/decision/gateway/target_pool_test.cpp
@@ -51,15 +51,15 @@
 
     static engine_request prompt(std::uint64_t session, std::uint64_t own) {
         engine_request request;
-        request.shape = {3000, 100, 50, {{1, 1000}, {session, 1000}, {own, 1000}}};
+        request.prompt = {3000, 100, 50, {{1, 1000}, {session, 1000}, {own, 1000}}};
         request.engine = {3, 200'000, 0.0};
-        request.first_event_aim = milliseconds(600);
+        request.first_event_objective = milliseconds(600);
         return request;
     }
 
     static engine_request long_prompt() {
         engine_request request = prompt(0, 0);
-        request.shape = {40'000, 100, 50, {{500, 20'000}, {501, 20'000}}};
+        request.prompt = {40'000, 100, 50, {{500, 20'000}, {501, 20'000}}};
         return request;
     }
 };
@@ -222,7 +222,7 @@
 BOOST_AUTO_TEST_CASE(engine_that_processes_long_prompt_is_avoided) {
     const std::string home = pick_engine(prompt(77, 1));
     const engine_request request = long_prompt();
-    pool->begin_attempt(now, home, request, request.shape.prompt, true);
+    pool->begin_attempt(now, home, request, request.prompt.prompt_tokens, true);
     BOOST_TEST(pick_engine(prompt(77, 2)) != home);
 }
 
@@ -230,7 +230,7 @@
     const std::string home = pick_engine(prompt(77, 1));
     const engine_request request = long_prompt();
     const std::uint64_t attempt_number =
-        pool->begin_attempt(now, home, request, request.shape.prompt, true);
+        pool->begin_attempt(now, home, request, request.prompt.prompt_tokens, true);
     pool->record_first_event(now, home, attempt_number);
     pool->end_attempt(now, home, attempt_number);
     BOOST_TEST(pick_engine(prompt(77, 2)) == home);
@@ -241,7 +241,7 @@
     request.engine.copy_ms_per_token = 0.002;
     const std::string home = pick_engine(request);
     pool->end_attempt(now, home,
-                      pool->begin_attempt(now, home, request, request.shape.prompt, true));
+                      pool->begin_attempt(now, home, request, request.prompt.prompt_tokens, true));
     gateway_target draining = target(home.c_str(), "engine", "d1");
     draining.draining = true;
     pool->apply(draining);
@@ -256,12 +256,12 @@
 BOOST_AUTO_TEST_CASE(copy_source_known_only_to_this_gateway_is_used) {
     engine_request first = prompt(77, 1);
     first.engine.copy_ms_per_token = 0.002;
-    pool->begin_attempt(now, "e1", first, first.shape.prompt, false);
+    pool->begin_attempt(now, "e1", first, first.prompt.prompt_tokens, false);
     engine_request next = prompt(77, 2);
     next.engine.copy_ms_per_token = 0.002;
     target_choice choice;
     choice.target = pool->find("e2");
-    choice.uncached_tokens = next.shape.prompt;
+    choice.uncached_tokens = next.prompt.prompt_tokens;
     pool->improve_copy_source(now, next, choice);
     BOOST_REQUIRE(choice.copy_from != nullptr);
     BOOST_TEST(choice.copy_from->id == "e1");
@@ -271,7 +271,7 @@
 BOOST_AUTO_TEST_CASE(copy_source_is_unchanged_if_little_would_be_gained) {
     engine_request first = prompt(77, 1);
     first.engine.copy_ms_per_token = 0.002;
-    pool->begin_attempt(now, "e1", first, first.shape.prompt, false);
+    pool->begin_attempt(now, "e1", first, first.prompt.prompt_tokens, false);
     target_choice choice;
     choice.target = pool->find("e2");
     // The engine will have the shared parts cached; only the last part, which is unique to the
@@ -281,7 +281,7 @@
     BOOST_TEST((choice.copy_from == nullptr));
     // Engines that can't copy process the prompt themselves.
     engine_request without_copying = prompt(77, 2);
-    choice.uncached_tokens = without_copying.shape.prompt;
+    choice.uncached_tokens = without_copying.prompt.prompt_tokens;
     pool->improve_copy_source(now, without_copying, choice);
     BOOST_TEST((choice.copy_from == nullptr));
 }
@@ -301,7 +301,7 @@
 
 BOOST_AUTO_TEST_CASE(prompts_without_session_use_any_rendezvous_engine) {
     engine_request without_session = prompt(1, 1);
-    without_session.shape.parts.clear();
+    without_session.prompt.parts.clear();
     std::set<std::string_view> found;
     for (int attempt = 0; attempt < 100; ++attempt) {
         found.insert(pool->rendezvous_engine(now, "engine", without_session, {}));
--- a/tests/decision/gateway/target_regions_test.cpp
+++ b/tests/decision/gateway/target_regions_test.cpp
@@ -60,10 +60,10 @@
 
     static engine_request prompt(std::uint64_t session, const candidate_constraints& constraints) {
         engine_request request;
-        request.shape = {3000, 100, 50, {{1, 1000}, {session, 1000}, {session + 1, 1000}}};
+        request.prompt = {3000, 100, 50, {{1, 1000}, {session, 1000}, {session + 1, 1000}}};
         request.engine = {3, 200'000, 0.002};
-        request.first_event_aim = milliseconds(600);
-        request.limits = constraints;
+        request.first_event_objective = milliseconds(600);
+        request.constraints = constraints;
         return request;
     }
 
--- a/tests/decision/gateway/target_versions_test.cpp
+++ b/tests/decision/gateway/target_versions_test.cpp
@@ -47,10 +47,10 @@
 
     static engine_request prompt(const version_constraint& constraint) {
         engine_request request;
-        request.shape = {3000, 100, 50, {{1, 1000}, {2, 1000}, {3, 1000}}};
+        request.prompt = {3000, 100, 50, {{1, 1000}, {2, 1000}, {3, 1000}}};
         request.engine = {3, 200'000, 0.01};
-        request.first_event_aim = milliseconds(600);
-        request.limits.version = constraint;
+        request.first_event_objective = milliseconds(600);
+        request.constraints.version = constraint;
         return request;
     }
 };
@@ -105,8 +105,8 @@
         BOOST_TEST(pool.rendezvous_engine(now, "app", request, {}).starts_with("v2"));
         pool.begin_attempt(now, choice.target->id, request, 3000, true);
     }
-    BOOST_TEST(!pool.is_usable("v1-1", "app", request.limits));
-    BOOST_TEST(pool.is_usable("v2-1", "app", request.limits));
+    BOOST_TEST(!pool.is_usable("v1-1", "app", request.constraints));
+    BOOST_TEST(pool.is_usable("v2-1", "app", request.constraints));
 }
 
 BOOST_AUTO_TEST_CASE(memory_is_copied_from_engines_of_other_version) {
@@ -118,7 +118,7 @@
     pool.record_first_event(now + milliseconds(60), first.target->id, attempt_number);
     pool.end_attempt(now + milliseconds(80), first.target->id, attempt_number);
     engine_request to_new = prompt({version_rule::only, "v2", 0, 0, {}});
-    to_new.shape.parts.back() = {77, 1000};
+    to_new.prompt.parts.back() = {77, 1000};
     const target_choice second = pool.pick_engine(now + milliseconds(100), "app", to_new, {},
                                                   any_target, permit_share::coordinator);
     BOOST_TEST(second.target->version == "v2");
--- a/tests/decision/placement/engine_load_test.cpp
+++ b/tests/decision/placement/engine_load_test.cpp
@@ -8,13 +8,14 @@
 
 constexpr instant now{seconds(50)};
 
-/// An engine with some runs.
+/// The load of one engine, with attempts that accept pauses up to 300 ms.
 struct load_fixture {
     engine_load load;
 
-    void begin(std::uint64_t number, double reading_ms, double pause_ms = 0.0, instant at = now) {
-        const engine_run run{number, 1000, 1000.0, 300.0};
-        load.begin(at, run, {number, reading_ms, pause_ms});
+    void add_attempt(std::uint64_t attempt_id, double prefill_ms, double pause_ms = 0.0,
+                     instant at = now) {
+        const active_attempt attempt{attempt_id, 1000, 1000.0, 300.0};
+        load.add_attempt(at, attempt, {attempt_id, prefill_ms, pause_ms});
     }
 };
 
@@ -22,99 +23,99 @@
 
 BOOST_FIXTURE_TEST_SUITE(engine_load_test, load_fixture)
 
-BOOST_AUTO_TEST_CASE(prompts_wait_for_each_other) {
-    begin(1, 200.0);
-    begin(2, 300.0);
+BOOST_AUTO_TEST_CASE(prefills_run_one_after_the_other) {
+    add_attempt(1, 200.0);
+    add_attempt(2, 300.0);
     BOOST_TEST(load.backlog_ms(now) == 500.0);
     BOOST_TEST(load.backlog_ms(now + milliseconds(150)) == 350.0);
 }
 
-BOOST_AUTO_TEST_CASE(first_event_ends_the_reading_of_its_prompt_and_of_those_before) {
-    begin(1, 200.0);
-    begin(2, 300.0);
-    begin(3, 100.0);
-    load.first_event(now + milliseconds(100), 2);
+BOOST_AUTO_TEST_CASE(first_event_completes_its_prefill_and_earlier_ones) {
+    add_attempt(1, 200.0);
+    add_attempt(2, 300.0);
+    add_attempt(3, 100.0);
+    load.record_first_event(now + milliseconds(100), 2);
     BOOST_TEST(load.backlog_ms(now + milliseconds(100)) == 100.0);
 }
 
-BOOST_AUTO_TEST_CASE(prompt_that_should_have_been_read_still_waits_for_its_first_event) {
-    begin(1, 200.0);
-    begin(2, 300.0);
+BOOST_AUTO_TEST_CASE(overdue_prefill_stays_pending_until_its_first_event) {
+    add_attempt(1, 200.0);
+    add_attempt(2, 300.0);
     BOOST_TEST(load.backlog_ms(now + seconds(5)) == 300.0);
-    load.first_event(now + seconds(5), 1);
+    load.record_first_event(now + seconds(5), 1);
     BOOST_TEST(load.backlog_ms(now + seconds(5)) == 300.0);
 }
 
-BOOST_AUTO_TEST_CASE(runs_hold_memory_until_they_end) {
-    begin(1, 10.0);
-    begin(2, 10.0);
-    load.end(now + seconds(4), 1);
-    BOOST_TEST(load.runs() == 1U);
-    BOOST_TEST(load.held() == 1000);
-    load.end(now + seconds(5), 2);
-    BOOST_TEST(load.runs() == 0U);
-    BOOST_TEST(load.held() == 0);
+BOOST_AUTO_TEST_CASE(attempts_occupy_memory_until_they_end) {
+    add_attempt(1, 10.0);
+    add_attempt(2, 10.0);
+    load.end_attempt(now + seconds(4), 1);
+    BOOST_TEST(load.attempts() == 1U);
+    BOOST_TEST(load.memory_tokens() == 1000);
+    load.end_attempt(now + seconds(5), 2);
+    BOOST_TEST(load.attempts() == 0U);
+    BOOST_TEST(load.memory_tokens() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(pause_above_the_bound_loses_what_the_streams_are_worth) {
-    begin(1, 10.0);
-    begin(2, 10.0);
-    load.first_event(now, 2);
-    BOOST_TEST(load.loss_by_pause(now, 600.0) > 1800.0);
-    BOOST_TEST(load.loss_by_pause(now, 100.0) < 20.0);
+BOOST_AUTO_TEST_CASE(pause_above_the_bound_costs_the_streams) {
+    add_attempt(1, 10.0);
+    add_attempt(2, 10.0);
+    load.record_first_event(now, 2);
+    BOOST_TEST(load.pause_cost(now, 600.0) > 1800.0);
+    BOOST_TEST(load.pause_cost(now, 100.0) < 20.0);
 }
 
-BOOST_AUTO_TEST_CASE(pause_that_waits_already_is_not_counted_twice) {
-    begin(1, 10.0);
-    load.first_event(now, 1);
-    begin(2, 900.0, 600.0);
-    BOOST_TEST(load.loss_by_pause(now, 600.0) == 0.0);
+BOOST_AUTO_TEST_CASE(pending_pause_is_not_counted_twice) {
+    add_attempt(1, 10.0);
+    load.record_first_event(now, 1);
+    add_attempt(2, 900.0, 600.0);
+    BOOST_TEST(load.pause_cost(now, 600.0) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(past_pauses_warn_for_some_seconds) {
-    begin(1, 900.0, 600.0);
+BOOST_AUTO_TEST_CASE(past_pauses_decay_within_seconds) {
+    add_attempt(1, 900.0, 600.0);
     BOOST_TEST(load.late_pauses_per_second(now, 300.0) > 0.2);
     BOOST_TEST(load.late_pauses_per_second(now, 3000.0) < 0.001);
     BOOST_TEST(load.late_pauses_per_second(now + seconds(40), 300.0) < 0.001);
 }
 
-BOOST_AUTO_TEST_CASE(pauses_are_noted_for_a_bound_that_no_stream_there_has) {
-    load.watch_bound(100.0);
-    begin(1, 900.0, 200.0);
+BOOST_AUTO_TEST_CASE(pauses_are_counted_for_a_tracked_bound_without_streams) {
+    load.track_pause_bound(100.0);
+    add_attempt(1, 900.0, 200.0);
     BOOST_TEST(load.late_pauses_per_second(now, 100.0) > 0.2);
-    BOOST_TEST(load.loss_by_pause(now, 2000.0) > 0.0);
+    BOOST_TEST(load.pause_cost(now, 2000.0) > 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_owes_a_first_event_is_overdue) {
-    begin(1, 200.0);
+BOOST_AUTO_TEST_CASE(engine_with_a_late_first_event_is_overdue) {
+    add_attempt(1, 200.0);
     BOOST_TEST(load.overdue_ms(now + milliseconds(300)) == 0.0);
     BOOST_TEST(load.overdue_ms(now + seconds(2)) > 1000.0);
-    load.first_event(now + seconds(2), 1);
+    load.record_first_event(now + seconds(2), 1);
     BOOST_TEST(load.overdue_ms(now + seconds(2)) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(engine_whose_streams_fall_silent_is_overdue) {
-    begin(1, 10.0);
-    load.first_event(now, 1);
-    load.heard(now + seconds(1));
+BOOST_AUTO_TEST_CASE(engine_with_silent_streams_is_overdue) {
+    add_attempt(1, 10.0);
+    load.record_first_event(now, 1);
+    load.record_event(now + seconds(1));
     BOOST_TEST(load.overdue_ms(now + milliseconds(1100)) == 0.0);
     BOOST_TEST(load.overdue_ms(now + seconds(3)) > 1000.0);
-    load.end(now + seconds(3), 1);
+    load.end_attempt(now + seconds(3), 1);
     BOOST_TEST(load.overdue_ms(now + seconds(4)) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(prompt_whose_caller_left_no_longer_waits) {
-    begin(1, 200.0);
-    begin(2, 300.0);
-    load.end(now, 1);
+BOOST_AUTO_TEST_CASE(ended_attempt_is_no_longer_pending) {
+    add_attempt(1, 200.0);
+    add_attempt(2, 300.0);
+    load.end_attempt(now, 1);
     BOOST_TEST(load.backlog_ms(now) == 300.0);
 }
 
-BOOST_AUTO_TEST_CASE(chance_to_be_late_rises_through_a_half_at_the_bound) {
-    BOOST_TEST(chance_late(100.0, 300.0, 0.1) < 0.01);
-    BOOST_TEST(chance_late(300.0, 300.0, 0.1) == 0.5);
-    BOOST_TEST(chance_late(500.0, 300.0, 0.1) > 0.99);
-    BOOST_TEST(chance_late(500.0, 0.0, 0.1) == 0.0);
+BOOST_AUTO_TEST_CASE(late_probability_is_a_half_at_the_bound) {
+    BOOST_TEST(late_probability(100.0, 300.0, 0.1) < 0.01);
+    BOOST_TEST(late_probability(300.0, 300.0, 0.1) == 0.5);
+    BOOST_TEST(late_probability(500.0, 300.0, 0.1) > 0.99);
+    BOOST_TEST(late_probability(500.0, 0.0, 0.1) == 0.0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/decision/placement/engine_placer_test.cpp
+++ b/tests/decision/placement/engine_placer_test.cpp
@@ -12,101 +12,114 @@
 constexpr instant now{seconds(50)};
 const std::string service = "llm";
 
-/// Six engines with memory for 200,000 tokens that can copy from each other.
+/// Six engines that each hold 200,000 tokens and can copy from each other.
 struct placer_fixture {
     engine_placer placer;
     std::vector<std::string> ids{"e1", "e2", "e3", "e4", "e5", "e6"};
     bool copies = true;
 
     engine_request request(tokens prompt, tokens output, std::uint64_t session,
-                           std::uint64_t own) const {
-        engine_request made;
-        made.shape = {
-            prompt, 2 * output, output, {{session, prompt / 2}, {own, prompt - prompt / 2}}};
-        made.engine = {3, 200'000, copies ? 0.002 : 0.0};
-        made.first_event_aim = seconds(4);
-        made.longest_pause = milliseconds(300);
-        return made;
+                           std::uint64_t part_id) const {
+        engine_request result;
+        result.prompt = {
+            prompt, 2 * output, output, {{session, prompt / 2}, {part_id, prompt - prompt / 2}}};
+        result.engine = {3, 200'000, copies ? 0.002 : 0.0};
+        result.first_event_objective = seconds(4);
+        result.max_event_gap = milliseconds(300);
+        return result;
     }
 
-    engine_request long_prompt(std::uint64_t own) const {
-        return request(30'000, 50, own, own + 1);
+    engine_request long_prompt(std::uint64_t part_id) const {
+        return request(30'000, 50, part_id, part_id + 1);
+    }
+    engine_request stream(std::uint64_t part_id) const {
+        return request(800, 300, part_id, part_id + 1);
     }
-    engine_request stream(std::uint64_t own) const { return request(800, 300, own, own + 1); }
 
-    engine_choice choose(const engine_request& asked, instant at = now) {
-        return choose_with(placer, asked, at);
+    engine_choice choose(const engine_request& incoming, instant at = now) {
+        return choose_with(placer, incoming, at);
     }
 
-    engine_choice choose_with(engine_placer& with, const engine_request& asked,
+    engine_choice choose_with(engine_placer& chooser, const engine_request& incoming,
                               instant at = now) const {
         std::vector<engine_candidate> candidates;
-        std::vector<engine_source> sources;
+        std::vector<copy_source> sources;
         for (const std::string& id : ids) {
             candidates.push_back({id, 64, 0.0});
             sources.push_back({id});
         }
-        return with.choose(at, service, candidates, sources, asked);
+        return chooser.choose(at, service, candidates, sources, incoming);
     }
 
-    /// As long as an engine of the usual kind takes.
-    static microseconds first_event_after(tokens prompt, tokens unread) {
-        const reading_model usual;
+    /// The time to the first event on an engine with the initial prefill model.
+    static microseconds first_event_after(tokens prompt, tokens uncached_tokens) {
+        const prefill_model model;
         return microseconds(
-            static_cast<std::int64_t>(1000.0 * usual.first_event_ms(prompt, unread)));
+            static_cast<std::int64_t>(1000.0 * model.first_event_ms(prompt, uncached_tokens)));
     }
 
-    /// A request begins at an engine so that its first event comes at this time.
-    std::uint64_t answer_at(instant at, const std::string& id, const engine_request& asked,
-                            tokens unread) {
-        const instant begun = at - first_event_after(asked.shape.prompt, unread);
-        const std::uint64_t run = placer.begin(begun, service, id, asked, unread, true);
-        placer.first_event(at, id, run);
-        return run;
+    /// Starts an attempt on an engine such that its first event arrives at this time.
+    std::uint64_t start_attempt_with_first_event_at(instant at, const std::string& id,
+                                                    const engine_request& incoming,
+                                                    tokens uncached_tokens) {
+        const instant started_at =
+            at - first_event_after(incoming.prompt.prompt_tokens, uncached_tokens);
+        const std::uint64_t attempt =
+            placer.begin_attempt(started_at, service, id, incoming, uncached_tokens, true);
+        placer.record_first_event(at, id, attempt);
+        return attempt;
     }
 
-    std::string place(const engine_request& asked, instant at = now) {
-        const engine_choice choice = choose(asked, at);
+    std::string place(const engine_request& incoming, instant at = now) {
+        const engine_choice choice = choose(incoming, at);
         const std::string& id = ids[choice.index];
-        answer_at(at, id, asked, choice.unread);
+        start_attempt_with_first_event_at(at, id, incoming, choice.uncached_tokens);
         return id;
     }
 
-    /// Places a request whose prompt is read in time and whose answer takes 10 ms a token.
-    std::string serve(const engine_request& asked, instant at) {
-        const engine_choice choice = choose(asked, at);
+    /// Places a request with the expected prefill time and a response that takes 10 ms per token.
+    std::string serve(const engine_request& incoming, instant at) {
+        const engine_choice choice = choose(incoming, at);
         const std::string& id = ids[choice.index];
-        const std::uint64_t run = placer.begin(at, service, id, asked, choice.unread, true);
-        const instant first = at + first_event_after(asked.shape.prompt, choice.unread);
-        due_.emplace(first, [this, id, run](instant when) { placer.first_event(when, id, run); });
-        due_.emplace(first + expected_output(asked.shape) * milliseconds(10),
-                     [this, id, run](instant when) { placer.end(when, id, run); });
+        const std::uint64_t attempt =
+            placer.begin_attempt(at, service, id, incoming, choice.uncached_tokens, true);
+        const instant first =
+            at + first_event_after(incoming.prompt.prompt_tokens, choice.uncached_tokens);
+        scheduled_.emplace(first, [this, id, attempt](instant when) {
+            placer.record_first_event(when, id, attempt);
+        });
+        scheduled_.emplace(
+            first + expected_output(incoming.prompt) * milliseconds(10),
+            [this, id, attempt](instant when) { placer.end_attempt(when, id, attempt); });
         return id;
     }
 
-    /// Lets all happen that is due until this time.
-    void pass_until(instant at) {
-        while (!due_.empty() && due_.begin()->first <= at) {
-            const auto next = due_.extract(due_.begin());
+    /// Runs all scheduled events up to this time.
+    void run_events_until(instant at) {
+        while (!scheduled_.empty() && scheduled_.begin()->first <= at) {
+            const auto next = scheduled_.extract(scheduled_.begin());
             next.mapped()(next.key());
         }
     }
 
-    std::multimap<instant, std::function<void(instant)>> due_;
+    std::multimap<instant, std::function<void(instant)>> scheduled_;
 
-    void run_at(const std::string& id, const engine_request& asked) {
-        answer_at(now, id, asked, asked.shape.prompt);
+    void start_attempt_at(const std::string& id, const engine_request& incoming) {
+        start_attempt_with_first_event_at(now, id, incoming, incoming.prompt.prompt_tokens);
     }
 
-    /// A request runs at an engine and ends.
-    void leave_at(const std::string& id, const engine_request& asked) {
-        placer.end(now, id, answer_at(now, id, asked, asked.shape.prompt));
+    /// Runs a request on an engine to its end.
+    void complete_attempt_at(const std::string& id, const engine_request& incoming) {
+        placer.end_attempt(
+            now, id,
+            start_attempt_with_first_event_at(now, id, incoming, incoming.prompt.prompt_tokens));
     }
 
-    /// Spans of events that came with this gap.
-    void events(const std::string& id, int gap_ms) {
-        for (int turn = 0; turn < 20; ++turn) {
-            placer.next_events(now, id, event_pace::span_events * milliseconds(gap_ms));
+    /// Records spans of events with this interval.
+    void record_events(const std::string& id, int interval_ms) {
+        for (int round = 0; round < 20; ++round) {
+            placer.record_event_span(
+                now, id, event_interval_estimator::events_per_span * milliseconds(interval_ms));
         }
     }
 };
@@ -115,71 +128,72 @@
 
 BOOST_FIXTURE_TEST_SUITE(engine_placer_test, placer_fixture)
 
-BOOST_AUTO_TEST_CASE(long_prompt_keeps_away_from_streams) {
+BOOST_AUTO_TEST_CASE(long_prompt_avoids_engines_with_streams) {
     for (const char* id : {"e1", "e2", "e3", "e4", "e5"}) {
-        run_at(id, stream(100));
+        start_attempt_at(id, stream(100));
     }
-    for (std::uint64_t own = 1000; own < 1020; own += 2) {
-        BOOST_TEST(ids[choose(long_prompt(own)).index] == "e6");
+    for (std::uint64_t part_id = 1000; part_id < 1020; part_id += 2) {
+        BOOST_TEST(ids[choose(long_prompt(part_id)).index] == "e6");
     }
 }
 
-BOOST_AUTO_TEST_CASE(stream_keeps_away_from_where_long_prompts_were_read_of_late) {
+BOOST_AUTO_TEST_CASE(stream_avoids_engines_with_recent_long_prompts) {
     for (const char* id : {"e1", "e2", "e4", "e5", "e6"}) {
-        leave_at(id, long_prompt(100));
+        complete_attempt_at(id, long_prompt(100));
     }
-    for (std::uint64_t own = 1000; own < 1020; own += 2) {
-        BOOST_TEST(ids[choose(stream(own), now + milliseconds(100)).index] == "e3");
+    for (std::uint64_t part_id = 1000; part_id < 1020; part_id += 2) {
+        BOOST_TEST(ids[choose(stream(part_id), now + milliseconds(100)).index] == "e3");
     }
 }
 
-BOOST_AUTO_TEST_CASE(long_prompts_and_streams_part_company) {
-    std::map<std::string, int> longs;
-    std::map<std::string, int> streams;
-    std::uint64_t own = 1;
-    for (int turn = 0; turn < 60; ++turn) {
-        const instant at = now + turn * milliseconds(500);
-        const bool settled = turn >= 20;
-        pass_until(at);
-        longs[serve(long_prompt(own += 2), at)] += settled ? 1 : 0;
-        pass_until(at + milliseconds(100));
-        for (int more = 0; more < 3; ++more) {
-            streams[serve(stream(own += 2), at + milliseconds(100))] += settled ? 1 : 0;
+BOOST_AUTO_TEST_CASE(long_prompts_and_streams_use_separate_engines) {
+    std::map<std::string, int> prompt_counts;
+    std::map<std::string, int> stream_counts;
+    std::uint64_t part_id = 1;
+    for (int round = 0; round < 60; ++round) {
+        const instant at = now + round * milliseconds(500);
+        const bool is_settled = round >= 20;
+        run_events_until(at);
+        prompt_counts[serve(long_prompt(part_id += 2), at)] += is_settled ? 1 : 0;
+        run_events_until(at + milliseconds(100));
+        for (int repeat = 0; repeat < 3; ++repeat) {
+            stream_counts[serve(stream(part_id += 2), at + milliseconds(100))] +=
+                is_settled ? 1 : 0;
         }
     }
-    int together = 0;
-    for (const auto& [id, count] : longs) {
-        together += std::min(count, streams[id]);
+    int shared = 0;
+    for (const auto& [id, count] : prompt_counts) {
+        shared += std::min(count, stream_counts[id]);
     }
-    BOOST_TEST(together <= 4);
+    BOOST_TEST(shared <= 4);
 }
 
-BOOST_AUTO_TEST_CASE(streams_alone_spread) {
+BOOST_AUTO_TEST_CASE(streams_without_long_prompts_use_all_engines) {
     std::set<std::string> used;
-    for (std::uint64_t own = 2; own < 400; own += 2) {
-        used.insert(place(stream(own)));
+    for (std::uint64_t part_id = 2; part_id < 400; part_id += 2) {
+        used.insert(place(stream(part_id)));
     }
     BOOST_TEST(used.size() == ids.size());
 }
 
-BOOST_AUTO_TEST_CASE(long_prompts_meet_streams_where_there_is_no_other_room) {
+BOOST_AUTO_TEST_CASE(long_prompt_shares_an_engine_with_streams_if_it_is_the_only_one) {
     ids = {"e1"};
-    run_at("e1", stream(100));
+    start_attempt_at("e1", stream(100));
     BOOST_TEST(choose(long_prompt(1000)).index == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(slow_engine_gets_the_streams_and_no_long_prompt) {
+BOOST_AUTO_TEST_CASE(slow_engine_gets_no_long_prompt) {
     for (const std::string& id : ids) {
-        run_at(id, stream(100));
-        events(id, id == "e2" ? 40 : 25);
+        start_attempt_at(id, stream(100));
+        record_events(id, id == "e2" ? 40 : 25);
     }
-    for (std::uint64_t own = 1000; own < 1020; own += 2) {
-        BOOST_TEST(ids[choose(long_prompt(own)).index] != "e2");
+    for (std::uint64_t part_id = 1000; part_id < 1020; part_id += 2) {
+        BOOST_TEST(ids[choose(long_prompt(part_id)).index] != "e2");
     }
 }
 
-BOOST_AUTO_TEST_CASE(prompt_kept_elsewhere_is_copied_and_not_read) {
-    leave_at("e4", request(12'000, 50, 100, 101));
+BOOST_AUTO_TEST_CASE(prompt_cached_on_another_engine_is_copied) {
+    complete_attempt_at("e4", request(12'000, 50, 100, 101));
     const engine_request again = request(12'000, 50, 100, 200);
     const engine_choice choice = choose(again);
     if (ids[choice.index] == "e4") {
@@ -187,76 +201,77 @@
     } else {
         BOOST_TEST(choice.copy_from == "e4");
     }
-    BOOST_TEST(choice.unread == 6000);
+    BOOST_TEST(choice.uncached_tokens == 6000);
 }
 
-BOOST_AUTO_TEST_CASE(prompt_is_read_where_it_is_kept_if_engines_cannot_copy) {
+BOOST_AUTO_TEST_CASE(prompt_goes_to_the_engine_that_caches_it_if_engines_cannot_copy) {
     copies = false;
-    leave_at("e4", request(12'000, 50, 100, 101));
+    complete_attempt_at("e4", request(12'000, 50, 100, 101));
     const engine_choice choice = choose(request(12'000, 50, 100, 200), now + seconds(10));
     BOOST_TEST(ids[choice.index] == "e4");
     BOOST_TEST(choice.copy_from.empty());
 }
 
-BOOST_AUTO_TEST_CASE(session_nobody_has_seen_goes_to_the_same_engine_from_every_entry) {
+BOOST_AUTO_TEST_CASE(unknown_session_goes_to_the_same_engine_from_every_entry) {
     engine_placer other;
     for (std::uint64_t session = 1; session < 40; ++session) {
-        const engine_request asked = request(800, 100, session, session + 1000);
-        BOOST_TEST(choose(asked).index == choose_with(other, asked).index);
+        const engine_request incoming = request(800, 100, session, session + 1000);
+        BOOST_TEST(choose(incoming).index == choose_with(other, incoming).index);
     }
 }
 
-BOOST_AUTO_TEST_CASE(engines_that_read_are_left_to_the_one_that_does_not) {
+BOOST_AUTO_TEST_CASE(long_prompt_avoids_engines_with_pending_prefills) {
     for (const char* id : {"e1", "e2", "e3", "e4", "e5"}) {
-        placer.begin(now, service, id, long_prompt(100), 30'000, true);
+        placer.begin_attempt(now, service, id, long_prompt(100), 30'000, true);
     }
     BOOST_TEST(ids[choose(long_prompt(1000)).index] == "e6");
 }
 
-BOOST_AUTO_TEST_CASE(reading_times_are_not_learnt_where_other_requests_are_unknown) {
-    const engine_request asked = request(3000, 50, 1, 2);
-    const double before = choose(asked).price.first_event_ms;
-    for (int turn = 0; turn < 50; ++turn) {
-        const std::uint64_t run = placer.begin(now, service, "e1", asked, 3000, false);
-        placer.first_event(now + seconds(2), "e1", run);
-        placer.end(now + seconds(2), "e1", run);
+BOOST_AUTO_TEST_CASE(prefill_times_are_not_learnt_if_other_requests_are_unknown) {
+    const engine_request incoming = request(3000, 50, 1, 2);
+    const double before = choose(incoming).cost.first_event_ms;
+    for (int round = 0; round < 50; ++round) {
+        const std::uint64_t attempt =
+            placer.begin_attempt(now, service, "e1", incoming, 3000, false);
+        placer.record_first_event(now + seconds(2), "e1", attempt);
+        placer.end_attempt(now + seconds(2), "e1", attempt);
     }
-    BOOST_TEST(choose(request(3000, 50, 5, 6)).price.first_event_ms <= before);
+    BOOST_TEST(choose(request(3000, 50, 5, 6)).cost.first_event_ms <= before);
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_fails_its_requests_is_avoided) {
+BOOST_AUTO_TEST_CASE(engine_with_failed_requests_is_avoided) {
     std::vector<engine_candidate> candidates{{"e1", 64, 0.9}, {"e2", 64, 0.0}};
-    for (std::uint64_t own = 2; own < 40; own += 2) {
-        BOOST_TEST(placer.choose(now, service, candidates, {}, stream(own)).index == 1U);
+    for (std::uint64_t part_id = 2; part_id < 40; part_id += 2) {
+        BOOST_TEST(placer.choose(now, service, candidates, {}, stream(part_id)).index == 1U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_owes_an_answer_is_avoided) {
+BOOST_AUTO_TEST_CASE(engine_with_an_overdue_first_event_is_avoided) {
     ids = {"e1", "e2"};
-    placer.begin(now, service, "e1", stream(100), 800, true);
-    for (std::uint64_t own = 1000; own < 1040; own += 2) {
-        BOOST_TEST(ids[choose(stream(own), now + seconds(3)).index] == "e2");
+    placer.begin_attempt(now, service, "e1", stream(100), 800, true);
+    for (std::uint64_t part_id = 1000; part_id < 1040; part_id += 2) {
+        BOOST_TEST(ids[choose(stream(part_id), now + seconds(3)).index] == "e2");
     }
 }
 
-BOOST_AUTO_TEST_CASE(full_engine_is_avoided) {
+BOOST_AUTO_TEST_CASE(engine_without_free_slots_is_avoided) {
     ids = {"e1", "e2"};
-    for (int turn = 0; turn < 70; ++turn) {
-        run_at("e1", request(100, 300, 7, 8));
+    for (int round = 0; round < 70; ++round) {
+        start_attempt_at("e1", request(100, 300, 7, 8));
     }
-    for (std::uint64_t own = 1000; own < 1040; own += 2) {
-        BOOST_TEST(ids[choose(request(100, 300, own, own + 1)).index] == "e2");
+    for (std::uint64_t part_id = 1000; part_id < 1040; part_id += 2) {
+        BOOST_TEST(ids[choose(request(100, 300, part_id, part_id + 1)).index] == "e2");
     }
 }
 
-BOOST_AUTO_TEST_CASE(engine_without_memory_left_is_avoided) {
+BOOST_AUTO_TEST_CASE(engine_without_free_memory_is_avoided) {
     ids = {"e1", "e2"};
-    for (std::uint64_t own = 100; own < 130; own += 2) {
-        run_at("e1", request(14'000, 50, own, own + 1));
+    for (std::uint64_t part_id = 100; part_id < 130; part_id += 2) {
+        start_attempt_at("e1", request(14'000, 50, part_id, part_id + 1));
     }
     engine_request large = request(14'000, 50, 900, 901);
-    large.longest_pause = {};
-    large.first_event_aim = {};
+    large.max_event_gap = {};
+    large.first_event_objective = {};
     BOOST_TEST(ids[choose(large).index] == "e2");
 }
 
--- a/tests/drivers/grant_ledger_test.cpp
+++ b/tests/drivers/grant_ledger_test.cpp
@@ -19,8 +19,8 @@
     holding_process(event_loop& loop, keyed_log& log, std::string host, std::uint64_t incarnation,
                     tokens limit)
         : ledger(loop, log, "grants", counters,
-                 {[this] { return holder.compose(monotonic_now()); }, [] {},
-                  [this] { holder.resolved(); }, [](bool) {}, host}),
+                 {[this] { return holder.compose_records(monotonic_now()); }, [] {},
+                  [this] { holder.on_append_resolved(); }, [](bool) {}, host}),
           holder(std::move(host), incarnation_id{incarnation}, {}, ledger.table()) {
         holder.set_limit(account, limit);
         ledger.start();
@@ -62,7 +62,7 @@
     first.holder.set_waiting(account, 4000, 4000);
     first.ledger.append_if_due();
     BOOST_TEST(run_until([&] { return second.ledger.table().granted(account) >= 4000; }));
-    BOOST_TEST(first.holder.free(account) >= 4000);
+    BOOST_TEST(first.holder.free_tokens(account) >= 4000);
 }
 
 BOOST_AUTO_TEST_CASE(many_processes_that_draw_lose_few_races) {
@@ -99,7 +99,7 @@
     log.lost_answers = 1.0;
     process.holder.set_waiting(account, 4000, 4000);
     process.ledger.append_if_due();
-    BOOST_TEST(run_until([&] { return process.holder.free(account) >= 4000; }));
+    BOOST_TEST(run_until([&] { return process.holder.free_tokens(account) >= 4000; }));
 }
 
 BOOST_AUTO_TEST_CASE(process_without_the_log_keeps_what_it_has_and_draws_no_more) {
@@ -107,7 +107,7 @@
     BOOST_REQUIRE(run_until([&] { return process.ledger.live(); }));
     process.holder.set_waiting(account, 4000, 4000);
     process.ledger.append_if_due();
-    BOOST_REQUIRE(run_until([&] { return process.holder.free(account) >= 4000; }));
+    BOOST_REQUIRE(run_until([&] { return process.holder.free_tokens(account) >= 4000; }));
     log.down = true;
     BOOST_TEST(
         (process.holder.reserve(monotonic_now(), account, 4000) == reserve_outcome::reserved));
@@ -129,7 +129,7 @@
     log.down = false;
     BOOST_REQUIRE(run_until([&] {
         process.ledger.append_if_due();
-        return process.holder.free(account) >= 4000;
+        return process.holder.free_tokens(account) >= 4000;
     }));
     // Homes hold several times what an append takes: an outage would make them draw far too much.
     BOOST_TEST((process.ledger.append_time() < milliseconds(100)));
@@ -226,7 +226,7 @@
     log.restore_copy();
     run_for(seconds(1));
     BOOST_TEST(granted_in_log() >= drawn);
-    BOOST_TEST(first->holder.free(account) >= 0);
+    BOOST_TEST(first->holder.free_tokens(account) >= 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(lost_grant_of_stopped_holder_is_rewritten_by_another_process,
@@ -250,8 +250,9 @@
     third->holder.set_waiting(account, limit - drawn, 1);
     run_for(seconds(1));
     BOOST_TEST(third->ledger.table().granted(account) <= limit);
-    BOOST_TEST(third->holder.free(account) + second->holder.free(account) + drawn <= limit);
-    BOOST_TEST(first->holder.free(account) >= 0);
+    BOOST_TEST(third->holder.free_tokens(account) + second->holder.free_tokens(account) + drawn <=
+               limit);
+    BOOST_TEST(first->holder.free_tokens(account) >= 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(own_record_overwritten_with_older_value_is_corrected,
@@ -261,14 +262,15 @@
     const keyed_record record = encode_grant({{account, "h1"}, older});
     log.put("grants", record.key, record.value);
     run_for(seconds(1));
-    BOOST_TEST(first->holder.free(account) >= 0);
+    BOOST_TEST(first->holder.free_tokens(account) >= 0);
     BOOST_TEST(granted_in_log() >= drawn);
 }
 
 BOOST_FIXTURE_TEST_CASE(draw_after_store_restore_succeeds_within_3_s, restored_ledger_fixture) {
     log.restore_copy();
     second->holder.set_waiting(account, 2000, 2000);
-    BOOST_TEST(run_until([this] { return second->holder.free(account) >= 2000; }, seconds(3)));
+    BOOST_TEST(
+        run_until([this] { return second->holder.free_tokens(account) >= 2000; }, seconds(3)));
     BOOST_TEST(second->ledger.table().granted(account) <= limit);
 }
 
--- a/tests/drivers/member_directory_test.cpp
+++ b/tests/drivers/member_directory_test.cpp
@@ -20,13 +20,13 @@
         : directory(
               loop, log, "members",
               {"h" + std::to_string(number), incarnation_id{process}, "tcp://x:1", 0.2, {}, {}},
-              {[this](const ledger_member& member) { seen[member.host] = member; },
+              {[this](const cluster_member& member) { seen[member.host] = member; },
                [this](const std::string& host) { seen.erase(host); }, [](bool) {}},
               times_store) {
         directory.start();
     }
 
-    std::map<std::string, ledger_member> seen;
+    std::map<std::string, cluster_member> seen;
     member_directory directory;
 };
 
@@ -40,8 +40,8 @@
 BOOST_FIXTURE_TEST_SUITE(member_directory_test, directory_fixture)
 
 BOOST_AUTO_TEST_CASE(member_written_and_read_is_the_same) {
-    const ledger_member member{"host", incarnation_id{7}, "tcp://10.0.0.1:2", 0.25,
-                               "d1",   "north",           milliseconds(43)};
+    const cluster_member member{"host", incarnation_id{7}, "tcp://10.0.0.1:2", 0.25,
+                                "d1",   "north",           milliseconds(43)};
     BOOST_TEST((decode_member(encode_member(member)) == member));
 }
 
@@ -66,8 +66,8 @@
     const listed_process plain(loop, log, 1);
     const listed_process timing(loop, log, 2, 1, true);
     BOOST_REQUIRE(run_until([&] { return plain.seen.size() == 2; }));
-    BOOST_TEST((plain.seen.at("h1").store_call == microseconds(0)));
-    BOOST_TEST((plain.seen.at("h2").store_call > microseconds(0)));
+    BOOST_TEST((plain.seen.at("h1").store_latency == microseconds(0)));
+    BOOST_TEST((plain.seen.at("h2").store_latency > microseconds(0)));
 }
 
 BOOST_AUTO_TEST_CASE(process_that_leaves_is_gone_from_it) {
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -67,8 +67,8 @@
     const auto read = read_incoming(head, dialect);
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read.value().path == "/lohu930/2f");
-    BOOST_TEST(read.value().prompt.prompt == 1460);
-    BOOST_TEST(read.value().prompt.most_output == 80);
+    BOOST_TEST(read.value().prompt.prompt_tokens == 1460);
+    BOOST_TEST(read.value().prompt.max_output == 80);
     BOOST_REQUIRE(read.value().prompt.parts.size() == 3U);
     BOOST_TEST(read.value().prompt.parts[1].id == 0x91bd3f06U);
     BOOST_TEST(read.value().prompt.parts[1].length == 410);
@@ -85,10 +85,10 @@
 
 BOOST_AUTO_TEST_CASE(guessed_length_is_read_and_a_bad_one_is_no_guess) {
     head.headers.push_back({"Length-Hint", "55"});
-    BOOST_TEST(read_incoming(head, dialect).value().prompt.guessed_output == 55);
+    BOOST_TEST(read_incoming(head, dialect).value().prompt.output_hint == 55);
     for (const char* guess : {"x", "-5", "5x"}) {
         head.headers.back().value = guess;
-        BOOST_TEST(read_incoming(head, dialect).value().prompt.guessed_output == 0);
+        BOOST_TEST(read_incoming(head, dialect).value().prompt.output_hint == 0);
     }
 }
 
@@ -204,7 +204,7 @@
     BOOST_TEST((config.routes[1].kind == request_kind::single_run));
     BOOST_TEST(config.routes[1].splits.size() == 2U);
     BOOST_TEST(config.services[0].engine->tokens_per_event == 3);
-    BOOST_TEST(config.services[0].engine->memory == 374'509);
+    BOOST_TEST(config.services[0].engine->memory_tokens == 374'509);
     BOOST_TEST(config.services[0].engine->copy_ms_per_token == 0.002);
     BOOST_TEST(config.services[1].engine->copy_ms_per_token == 0.0);
     BOOST_TEST(!config.services[2].engine.has_value());
--- a/tests/roles/placement_exchange_test.cpp
+++ b/tests/roles/placement_exchange_test.cpp
@@ -29,12 +29,12 @@
                     [this](const std::string& keeper, bool others_answered) {
                         silent.push_back(keeper);
                         others_had_answered = others_answered;
-                        members.failed(monotonic_now(), keeper);
+                        members.record_failure(monotonic_now(), keeper);
                     },
                     [this](const std::string& keeper) { answered.push_back(keeper); },
-                    [this](const ledger_member& keeper) { return members.round_trip(keeper); },
-                    [this](const ledger_member& keeper, microseconds took) {
-                        members.answered_after(keeper, took);
+                    [this](const cluster_member& keeper) { return members.round_trip(keeper); },
+                    [this](const cluster_member& keeper, microseconds took) {
+                        members.record_round_trip(keeper, took);
                     }}) {
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
             if (listens) {
@@ -79,13 +79,13 @@
         }
     }
 
-    static token_home_settings allocator_settings(const std::string& region) {
-        token_home_settings settings;
+    static token_allocator_settings allocator_settings(const std::string& region) {
+        token_allocator_settings settings;
         settings.own_region = region;
         return settings;
     }
 
-    ledger_member self() const {
+    cluster_member self() const {
         return {host, incarnation_id{1}, bus->endpoint(), host == "h1" ? 2.0 : 1.0, {}, region};
     }
 
@@ -94,10 +94,11 @@
     bool engines_by_region = false;
     metrics counters;
     random_source random;
-    engine_shape engine{3, 200'000, 0.0};
+    engine_profile engine{3, 200'000, 0.0};
     std::unique_ptr<message_bus> bus;
-    token_homes members;
-    engine_keepers keepers{members, [this](std::string_view id) { return targets.region_of(id); }};
+    token_allocator_selector members;
+    engine_coordinators keepers{members,
+                                [this](std::string_view id) { return targets.region_of(id); }};
     target_pool targets{pool_settings(), random};
     placement_desk desk{targets, keepers, counters};
     std::vector<std::string> silent;
@@ -145,10 +146,10 @@
 
     static engine_request prompt(std::uint64_t session, tokens length = 9000) {
         engine_request made;
-        made.shape = {length, 400, 150, {{session, length / 2}, {session + 1, length / 2}}};
+        made.prompt = {length, 400, 150, {{session, length / 2}, {session + 1, length / 2}}};
         made.engine = {3, 200'000, 0.0};
-        made.first_event_aim = milliseconds(800);
-        made.longest_pause = milliseconds(300);
+        made.first_event_objective = milliseconds(800);
+        made.max_event_gap = milliseconds(300);
         return made;
     }
 
@@ -202,8 +203,8 @@
     /// A session that meets at one engine for all regions.
     static engine_request long_to_read(std::uint64_t session) { return prompt(session, 14'000); }
 
-    ledger_member seen_by(const placing_entry& entry, const placing_entry& member) const {
-        ledger_member seen = member.self();
+    cluster_member seen_by(const placing_entry& entry, const placing_entry& member) const {
+        cluster_member seen = member.self();
         if (entry.region != member.region && member.region == "north") {
             seen.endpoint = "tcp://127.0.0.1:" + std::to_string(way->port());
         }
@@ -216,7 +217,7 @@
     placing_entry* near_keeper = nullptr;
 
     two_regions_fixture() : far_keeper_fixture(true) {
-        const std::string host = asker->keepers.keeper_of(monotonic_now(), "e1")->host;
+        const std::string host = asker->keepers.coordinator_of(monotonic_now(), "e1")->host;
         for (const auto& entry : regional) {
             near_keeper = entry->host == host ? entry.get() : near_keeper;
         }
@@ -388,14 +389,14 @@
         entry->move_all_but("e5", "d2");
     }
     engine_request bound = prompt(7);
-    bound.limits.regions = {{"north"}};
+    bound.constraints.regions = {{"north"}};
     for (std::uint64_t session = 10; session < 20; ++session) {
-        bound.shape.parts[0].id = session;
+        bound.prompt.parts[0].id = session;
         BOOST_TEST(place(*asker, bound) == "e5");
         BOOST_TEST(run.keeper == "h1");
     }
     BOOST_TEST(place(*asker, bound, {"e5"}).empty());
-    bound.limits.regions = allowed_regions{std::in_place};
+    bound.constraints.regions = allowed_regions{std::in_place};
     BOOST_TEST(place(*asker, bound).empty());
 }
 
@@ -403,9 +404,9 @@
     // The keeper's list is older: it believes all engines to be in the north.
     asker->move_all_but("e5", "d2");
     engine_request bound = prompt(7);
-    bound.limits.regions = {{"north"}};
+    bound.constraints.regions = {{"north"}};
     for (std::uint64_t session = 10; session < 20; ++session) {
-        bound.shape.parts[0].id = session;
+        bound.prompt.parts[0].id = session;
         BOOST_TEST(place(*asker, bound) == "e5");
     }
     BOOST_TEST(asker->counters.counter("placement_answers_unusable_total") > 0U);
@@ -563,7 +564,7 @@
 BOOST_FIXTURE_TEST_CASE(request_that_is_bound_to_a_full_region_stays_there, two_regions_fixture) {
     fill_the_south();
     engine_request bound = chat(101);
-    bound.limits.regions = {{"south"}};
+    bound.constraints.regions = {{"south"}};
     place(*asker, bound);
     BOOST_TEST(region_of_last() == "south");
 }
--- a/tests/roles/request_charge_test.cpp
+++ b/tests/roles/request_charge_test.cpp
@@ -32,7 +32,7 @@
     }
 
     /// What the holder counts as spent.
-    tokens spent() const { return 20'000 - holder.left_at_most(account); }
+    tokens spent() const { return 20'000 - holder.max_remaining(account); }
 };
 
 }  // namespace
@@ -47,13 +47,13 @@
     paid.close();
     BOOST_TEST(spent() == 1120);
     BOOST_TEST(holder.reserved(account) == 0);
-    BOOST_TEST(holder.free(account) == 8880);
+    BOOST_TEST(holder.free_tokens(account) == 8880);
 }
 
 BOOST_AUTO_TEST_CASE(run_that_never_began_costs_nothing) {
     { const request_charge paid = charge(1000, 500); }
     BOOST_TEST(spent() == 0);
-    BOOST_TEST(holder.free(account) == 10'000);
+    BOOST_TEST(holder.free_tokens(account) == 10'000);
 }
 
 BOOST_AUTO_TEST_CASE(unseen_end_costs_the_prompt_and_what_was_possible) {
--- a/tests/roles/rollout_exchange_test.cpp
+++ b/tests/roles/rollout_exchange_test.cpp
@@ -63,7 +63,7 @@
     }
 
     /// Sizes fall with the numbers, so that the first decides, then the second.
-    ledger_member self() const {
+    cluster_member self() const {
         const double size = 10.0 - static_cast<double>(raw(own));
         return {host, own, bus->endpoint(), size, {}, {}};
     }
@@ -90,7 +90,7 @@
     std::string host;
     metrics counters;
     std::unique_ptr<message_bus> bus;
-    token_homes members;
+    token_allocator_selector members;
     rollout_ledger ledger;
     std::vector<rollout_order> orders;
     rollout_report report;
--- a/tests/roles/stream_watch_test.cpp
+++ b/tests/roles/stream_watch_test.cpp
@@ -30,18 +30,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(span_is_complete_after_its_events_behind_the_first) {
-    events(static_cast<int>(event_pace::span_events));
+    events(static_cast<int>(event_interval_estimator::events_per_span));
     BOOST_TEST(!stream.take_span().has_value());
     stream.note(stream.last() + milliseconds(10), 1);
     const auto span = stream.take_span();
     BOOST_REQUIRE(span.has_value());
-    BOOST_TEST((*span == event_pace::span_events * milliseconds(10)));
+    BOOST_TEST((*span == event_interval_estimator::events_per_span * milliseconds(10)));
     BOOST_TEST(!stream.take_span().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(events_that_come_together_count_each) {
     stream.note(now, 1);
-    stream.note(now + milliseconds(160), 2 * event_pace::span_events);
+    stream.note(now + milliseconds(160), 2 * event_interval_estimator::events_per_span);
     BOOST_TEST((*stream.take_span() == milliseconds(80)));
 }
 
@@ -53,8 +53,9 @@
     BOOST_TEST(stream.events() == 0U);
     BOOST_TEST((stream.note(last + seconds(1), 1) == microseconds(0)));
     BOOST_TEST((stream.longest_pause() == milliseconds(200)));
-    events(static_cast<int>(event_pace::span_events), last + milliseconds(1010));
-    BOOST_TEST((*stream.take_span() == event_pace::span_events * milliseconds(10)));
+    events(static_cast<int>(event_interval_estimator::events_per_span), last + milliseconds(1010));
+    BOOST_TEST(
+        (*stream.take_span() == event_interval_estimator::events_per_span * milliseconds(10)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/roles/suspect_exchange_test.cpp
+++ b/tests/roles/suspect_exchange_test.cpp
@@ -35,7 +35,7 @@
         ticker = loop.call_every(milliseconds(50), [this] { exchange.tick(monotonic_now()); });
     }
 
-    ledger_member self() const { return {host, {}, bus->endpoint(), 1.0, {}, {}, {}}; }
+    cluster_member self() const { return {host, {}, bus->endpoint(), 1.0, {}, {}, {}}; }
 
     void sees_end(int number) { exchange.ended(life(number), std::span(&request, 1)); }
     suspicion held() const { return exchange.held_of(request); }
@@ -43,7 +43,7 @@
     std::string host;
     metrics counters;
     std::unique_ptr<message_bus> bus;
-    token_homes members;
+    token_allocator_selector members;
     std::set<digest> stopped;
     suspect_exchange exchange;
     std::unique_ptr<timer> ticker;
--- a/tests/roles/token_exchange_test.cpp
+++ b/tests/roles/token_exchange_test.cpp
@@ -33,8 +33,8 @@
                     [this] { return log_answers; }, [this] { return link_is_full; },
                     [this](const std::string& home) { silent.push_back(home); }}) {
         grants.set_limit(account, limit);
-        grants.draw_ahead_if(
-            [this](const std::string& name) { return homes.is_home(monotonic_now(), name); });
+        grants.set_draw_ahead_filter(
+            [this](const std::string& name) { return homes.is_allocator(monotonic_now(), name); });
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
             if (listens) {
                 exchange.on_message(origin, message);
@@ -59,21 +59,21 @@
         if (!log_answers) {
             return;
         }
-        for (const grant_record& record : grants.compose(monotonic_now())) {
+        for (const grant_record& record : grants.compose_records(monotonic_now())) {
             shared.apply(record);
         }
-        grants.resolved();
+        grants.on_append_resolved();
         waiters.serve(monotonic_now());
     }
 
-    static token_home_settings allocator_settings(const std::string& region) {
-        token_home_settings settings;
+    static token_allocator_settings allocator_settings(const std::string& region) {
+        token_allocator_settings settings;
         settings.own_region = region;
-        settings.far_round_trip = milliseconds(500);
+        settings.remote_round_trip = milliseconds(500);
         return settings;
     }
 
-    ledger_member self() const {
+    cluster_member self() const {
         return {host, incarnation_id{1}, bus->endpoint(), 1.0, {}, region};
     }
 
@@ -87,7 +87,7 @@
     std::vector<std::string> silent;
     metrics counters;
     std::unique_ptr<message_bus> bus;
-    token_homes homes;
+    token_allocator_selector homes;
     grant_holder grants;
     token_waiters waiters;
     token_exchange exchange;
@@ -121,13 +121,13 @@
     }
 
     entry_process& home() {
-        return by_host(entries.front()->homes.home_of(monotonic_now(), account)->host);
+        return by_host(entries.front()->homes.allocator_of(monotonic_now(), account)->host);
     }
 
     /// The one that is asked after the home.
     entry_process& second_home() {
         const std::vector<std::string> tried{home().host};
-        return by_host(entries.front()->homes.home_of(monotonic_now(), account, tried)->host);
+        return by_host(entries.front()->homes.allocator_of(monotonic_now(), account, tried)->host);
     }
 
     /// An entry that is neither of both.
@@ -157,7 +157,7 @@
     tokens spendable() {
         tokens sum = limit - table.granted(account);
         for (const auto& each : entries) {
-            sum += each->grants.free(account);
+            sum += each->grants.free_tokens(account);
         }
         return sum;
     }
@@ -188,7 +188,7 @@
     entry.grants.release(account, 3000);
     entry.exchange.return_free(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == before - 2000; }));
-    BOOST_TEST(entry.grants.free(account) == 0);
+    BOOST_TEST(entry.grants.free_tokens(account) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(requests_at_once_are_paid_by_few_asks) {
@@ -247,7 +247,7 @@
     BOOST_TEST(spendable() == limit - 20 * 500);
     entry.exchange.return_free(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == limit - 20 * 500; }));
-    BOOST_TEST(entry.grants.free(account) == 0);
+    BOOST_TEST(entry.grants.free_tokens(account) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(requests_behind_one_whose_home_is_silent_are_paid_elsewhere) {
@@ -278,7 +278,7 @@
     const instant began = monotonic_now();
     BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
     BOOST_TEST((monotonic_now() - began < milliseconds(90)));
-    BOOST_TEST(entry.homes.home_of(monotonic_now(), account)->host != lost.host);
+    BOOST_TEST(entry.homes.allocator_of(monotonic_now(), account)->host != lost.host);
 }
 
 BOOST_AUTO_TEST_CASE(entry_whose_homes_are_all_silent_draws_by_itself) {
@@ -302,11 +302,11 @@
 
 BOOST_AUTO_TEST_CASE(entry_whose_own_link_is_full_holds_no_silent_home_for_lost) {
     entry_process& entry = asker();
-    const std::string first = entry.homes.home_of(monotonic_now(), account)->host;
+    const std::string first = entry.homes.allocator_of(monotonic_now(), account)->host;
     entry.link_is_full = true;
     home().listens = false;
     BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
-    BOOST_TEST(entry.homes.home_of(monotonic_now(), account)->host == first);
+    BOOST_TEST(entry.homes.allocator_of(monotonic_now(), account)->host == first);
 }
 
 BOOST_AUTO_TEST_CASE(waiting_requests_are_refused_when_nobody_is_reached) {
@@ -342,7 +342,7 @@
 BOOST_AUTO_TEST_CASE(home_that_stops_sends_the_asker_on) {
     home().can_help = false;
     BOOST_TEST((reserve(asker(), 5000) == reserve_outcome::reserved));
-    BOOST_TEST(second_home().grants.left_at_most(account) == limit - 5000);
+    BOOST_TEST(second_home().grants.max_remaining(account) == limit - 5000);
 }
 
 BOOST_AUTO_TEST_CASE(home_without_its_log_sends_the_asker_on) {
@@ -363,7 +363,7 @@
     ask.mutable_token_ask()->set_account(account);
     ask.mutable_token_ask()->set_amount(5000);
     entry.bus->send(late.bus->endpoint(), ask);
-    BOOST_TEST(run_until([&] { return entry.grants.free(account) == 5000; }));
+    BOOST_TEST(run_until([&] { return entry.grants.free_tokens(account) == 5000; }));
     entry.exchange.return_free(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == before - 5000; }));
 }
@@ -387,7 +387,7 @@
     part.set_account(account);
     part.set_amount(-5000);
     asker().exchange.on_message({}, message);
-    BOOST_TEST(asker().grants.free(account) == 0);
+    BOOST_TEST(asker().grants.free_tokens(account) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(requests_everywhere_never_get_more_than_the_limit) {
@@ -431,7 +431,7 @@
     BOOST_TEST(far.unheard.front().token_return().amounts_size() == 0);
     BOOST_TEST(near.unheard.empty());
     far.exchange.on_message({}, far.unheard.front());
-    BOOST_TEST(far.grants.free(account) == 0);
+    BOOST_TEST(far.grants.free_tokens(account) == 0);
 }
 
 BOOST_FIXTURE_TEST_CASE(far_home_is_waited_for_by_its_distance, loop_runner) {
