--- a/src/roles/gateway/caller_answer.hpp
+++ b/src/roles/gateway/caller_answer.hpp
@@ -8,42 +8,45 @@
 
 namespace wrenswitch {
 
-/// What a caller is answered: a target's answer, whole or as it comes, or the gateway's own word.
-class caller_answer {
+/// Sends the response to a caller: a target's response, complete or as a stream, or an error of the
+/// gateway itself.
+class caller_response {
 public:
-    /// The dialect must outlive the answer.
-    caller_answer(ingress_exchange_pointer exchange, const gateway_dialect& dialect)
+    /// The dialect must outlive the response.
+    caller_response(ingress_exchange_pointer exchange, const gateway_dialect& dialect)
         : exchange_(std::move(exchange)), dialect_(dialect) {}
 
-    /// True once a part of a target's answer was passed on.
-    bool begun() const { return begun_; }
+    /// True once a part of a target's response has been sent to the caller.
+    bool started() const { return started_; }
 
-    /// Passes on a target's whole answer.
-    void pass_whole(const message_head& head, std::string_view body);
+    /// Sends a target's complete response.
+    void send_complete(const message_head& head, std::string_view body);
 
-    /// Passes on events of a target's stream, behind its head if they are the first. False if the
-    /// caller takes them so slowly that the answer was cut.
-    bool pass_events(const message_head& head, std::string_view events);
+    /// Sends events of a target's stream, preceded by the response head if they are the first.
+    /// Returns false if the response was aborted because the caller reads too slowly.
+    bool send_events(const message_head& head, std::string_view events);
 
     /// Ends a stream as complete.
     void end_stream(const message_head& head);
 
-    /// Ends an answer that was begun so that the caller sees that it isn't whole.
-    void cut() { exchange_->cut(); }
+    /// Closes the connection in the middle of a response, so that the caller sees that it is
+    /// incomplete.
+    void abort() { exchange_->cut(); }
 
-    /// Answers that the request did not run, and when to come back.
-    void refuse(std::string_view request, unsigned status, std::string_view reason,
+    /// Responds that the request did not run and when to retry it. The reason becomes the body.
+    void refuse(std::string_view request_id, unsigned status, std::string_view reason,
                 microseconds retry_after);
 
-    /// Answers with a failure of the gateway's own.
-    void fail(std::string_view request, unsigned status, std::string_view reason);
+    /// Responds with an error of the gateway itself, without a time to retry. The reason becomes
+    /// the body.
+    void fail(std::string_view request_id, unsigned status, std::string_view reason);
 
 private:
-    void begin(const message_head& head);
+    void send_head(const message_head& head);
 
     ingress_exchange_pointer exchange_;
     const gateway_dialect& dialect_;
-    bool begun_ = false;
+    bool started_ = false;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/event_log.cpp
+++ b/src/roles/gateway/event_log.cpp
@@ -4,35 +4,37 @@
 
 namespace wrenswitch {
 
-bool event_log::admit(allowance& told) {
+bool rate_limited_log::try_acquire(line_quota& quota) {
     const instant now = monotonic_now();
-    if (now - second_ >= seconds(1)) {
-        second_ = now;
-        const unsigned left_out = served_.left_out + failed_.left_out + routine_.left_out;
+    if (now - second_start_ >= seconds(1)) {
+        second_start_ = now;
+        const unsigned suppressed = served_.suppressed + failed_.suppressed + routine_.suppressed;
         served_ = {};
         failed_ = {};
         routine_ = {};
-        if (left_out > 0) {
-            log_event(log_level::warning, "events_left_out", {{"count", std::to_string(left_out)}});
+        if (suppressed > 0) {
+            log_event(log_level::warning, "events_left_out",
+                      {{"count", std::to_string(suppressed)}});
         }
     }
-    if (told.used >= requests_per_second_) {
-        told.left_out += 1;
+    if (quota.written >= max_lines_per_second_) {
+        quota.suppressed += 1;
         counters_.counter("log_events_left_out_total") += 1;
         return false;
     }
-    told.used += 1;
+    quota.written += 1;
     return true;
 }
 
-void event_log::tell(const request_trace& trace, bool failed) {
-    if (admit(failed ? failed_ : served_)) {
-        trace.tell();
+void rate_limited_log::log_request(const request_trace& trace, bool failed) {
+    if (try_acquire(failed ? failed_ : served_)) {
+        trace.write();
     }
 }
 
-void event_log::routine(std::string_view event, std::initializer_list<log_field> fields) {
-    if (admit(routine_)) {
+void rate_limited_log::log_routine(std::string_view event,
+                                   std::initializer_list<log_field> fields) {
+    if (try_acquire(routine_)) {
         log_event(log_level::information, event, fields);
     }
 }
--- a/src/roles/gateway/event_log.hpp
+++ b/src/roles/gateway/event_log.hpp
@@ -10,35 +10,36 @@
 
 namespace wrenswitch {
 
-/// Log lines that could come with every request, bounded in number: what was left out is counted
-/// and said. Served and failed requests have a bound each, so that neither can hide the other.
-class event_log {
+/// Writes log events that may occur with every request, up to a limit per second. The suppressed
+/// events are counted, and their number is logged. Served requests, failed requests and routine
+/// events have separate limits, so that none can suppress the others.
+class rate_limited_log {
 public:
     /// The counters must outlive the log.
-    event_log(unsigned requests_per_second, metrics& counters)
-        : requests_per_second_(requests_per_second), counters_(counters) {}
+    rate_limited_log(unsigned max_lines_per_second, metrics& counters)
+        : max_lines_per_second_(max_lines_per_second), counters_(counters) {}
 
-    /// Tells all that was decided for a request.
-    void tell(const request_trace& trace, bool failed);
+    /// Writes the trace of a request.
+    void log_request(const request_trace& trace, bool failed);
 
-    /// A step of the process's own that is as frequent as requests are.
-    void routine(std::string_view event, std::initializer_list<log_field> fields);
+    /// Writes an event of the process itself that is as frequent as requests are.
+    void log_routine(std::string_view event, std::initializer_list<log_field> fields);
 
 private:
-    /// What was written in this second.
-    struct allowance {
-        unsigned used = 0;
-        unsigned left_out = 0;
+    /// The number of events that were written and suppressed in the current second.
+    struct line_quota {
+        unsigned written = 0;
+        unsigned suppressed = 0;
     };
 
-    bool admit(allowance& told);
+    bool try_acquire(line_quota& quota);
 
-    unsigned requests_per_second_;
+    unsigned max_lines_per_second_;
     metrics& counters_;
-    instant second_{};
-    allowance served_;
-    allowance failed_;
-    allowance routine_;
+    instant second_start_{};
+    line_quota served_;
+    line_quota failed_;
+    line_quota routine_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/event_splitter.cpp
+++ b/src/roles/gateway/event_splitter.cpp
@@ -3,54 +3,55 @@
 namespace wrenswitch {
 namespace {
 
-/// An empty line ends an event. Both kinds of line end are in use.
-constexpr std::string_view plain_end = "\n\n";
-constexpr std::string_view carriage_end = "\r\n\r\n";
+/// An empty line ends an event. Both LF and CRLF line ends are in use.
+constexpr std::string_view lf_terminator = "\n\n";
+constexpr std::string_view crlf_terminator = "\r\n\r\n";
 
-/// Where the first event in the text ends, or npos.
-std::size_t end_of_event(std::string_view text) {
-    const std::size_t plain = text.find(plain_end);
-    const std::size_t carriage = text.find(carriage_end);
-    if (plain == std::string_view::npos && carriage == std::string_view::npos) {
+/// The position behind the first complete event in the text, or npos if there is none.
+std::size_t find_event_end(std::string_view text) {
+    const std::size_t lf_position = text.find(lf_terminator);
+    const std::size_t crlf_position = text.find(crlf_terminator);
+    if (lf_position == std::string_view::npos && crlf_position == std::string_view::npos) {
         return std::string_view::npos;
     }
-    if (plain < carriage) {
-        return plain + plain_end.size();
+    if (lf_position < crlf_position) {
+        return lf_position + lf_terminator.size();
     }
-    return carriage + carriage_end.size();
+    return crlf_position + crlf_terminator.size();
 }
 
 }  // namespace
 
-whole_events event_splitter::add(std::string_view bytes) {
-    rest_.append(bytes);
-    whole_events whole;
-    std::string_view unread = rest_;
-    for (std::size_t end = end_of_event(unread); end != std::string_view::npos;
-         end = end_of_event(unread)) {
-        note_id(unread.substr(0, end));
-        unread.remove_prefix(end);
-        whole.count += 1;
+complete_events event_splitter::add(std::string_view bytes) {
+    partial_event_.append(bytes);
+    complete_events complete;
+    std::string_view remaining = partial_event_;
+    for (std::size_t end = find_event_end(remaining); end != std::string_view::npos;
+         end = find_event_end(remaining)) {
+        record_event_id(remaining.substr(0, end));
+        remaining.remove_prefix(end);
+        complete.count += 1;
     }
-    const std::size_t taken = rest_.size() - unread.size();
-    whole.bytes = rest_.substr(0, taken);
-    rest_.erase(0, taken);
-    return whole;
+    const std::size_t consumed = partial_event_.size() - remaining.size();
+    complete.bytes = partial_event_.substr(0, consumed);
+    partial_event_.erase(0, consumed);
+    return complete;
 }
 
-void event_splitter::note_id(std::string_view event) {
-    constexpr std::string_view name = "id:";
+void event_splitter::record_event_id(std::string_view event) {
+    constexpr std::string_view field_prefix = "id:";
     while (!event.empty()) {
         const std::size_t end = event.find('\n');
         std::string_view line = event.substr(0, end);
         event = end == std::string_view::npos ? std::string_view{} : event.substr(end + 1);
-        if (line.substr(0, name.size()) != name) {
+        if (line.substr(0, field_prefix.size()) != field_prefix) {
             continue;
         }
-        line.remove_prefix(name.size());
+        line.remove_prefix(field_prefix.size());
         const std::size_t first = line.find_first_not_of(' ');
         const std::size_t last = line.find_last_not_of(" \r");
-        last_id_ = first == std::string_view::npos ? "" : line.substr(first, last - first + 1);
+        last_event_id_ =
+            first == std::string_view::npos ? "" : line.substr(first, last - first + 1);
     }
 }
 
--- a/src/roles/gateway/event_splitter.hpp
+++ b/src/roles/gateway/event_splitter.hpp
@@ -6,33 +6,33 @@
 
 namespace wrenswitch {
 
-/// The whole events at the front of what came of a stream.
-struct whole_events {
-    /// The events' bytes, to be passed on as they are.
+/// The complete events at the front of the received part of a stream.
+struct complete_events {
+    /// The bytes of the events, unchanged.
     std::string bytes;
     std::size_t count = 0;
 };
 
-/// Cuts a stream of server-sent events behind whole events, so that a target that stops in the
-/// middle of one leaves nothing half said.
+/// Splits a stream of server-sent events at event boundaries. Only complete events are passed on,
+/// so that a target that fails in the middle of one leaves no partial event at the caller.
 class event_splitter {
 public:
-    /// Takes bytes in and returns the events that are whole now.
-    whole_events add(std::string_view bytes);
+    /// Appends received bytes and returns the events that they complete.
+    complete_events add(std::string_view bytes);
 
-    /// Drops what came of an event that isn't whole.
-    void drop_rest() { rest_.clear(); }
+    /// Discards the bytes of an event that is not complete.
+    void discard_partial_event() { partial_event_.clear(); }
 
-    bool has_rest() const { return !rest_.empty(); }
+    bool has_partial_event() const { return !partial_event_.empty(); }
 
-    /// The identifier of the last whole event that had one, or an empty text.
-    const std::string& last_id() const { return last_id_; }
+    /// The identifier of the last complete event that had one, or an empty string.
+    const std::string& last_event_id() const { return last_event_id_; }
 
 private:
-    void note_id(std::string_view event);
+    void record_event_id(std::string_view event);
 
-    std::string rest_;
-    std::string last_id_;
+    std::string partial_event_;
+    std::string last_event_id_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -1,4 +1,4 @@
-// What a forwarded request does from its target's answer on.
+// The part of forwarded_request that handles the response of a target and the end of an attempt.
 
 #include <algorithm>
 #include <utility>
@@ -10,22 +10,25 @@
 namespace wrenswitch {
 namespace {
 
-/// A target that refuses a connection does so at once; one that takes longer says nothing.
-constexpr microseconds least_silence = milliseconds(300);
+/// A failed connection attempt counts as unresponsiveness of the target from this duration on. A
+/// target that refuses a connection does so at once.
+constexpr microseconds min_unresponsive_time = milliseconds(300);
 
-/// Events that may be on their way when an answer ends unseen, beside what its silence allows.
-constexpr tokens unseen_events = 8;
+/// Events that may be in transit when a response ends unobserved, in addition to those that the
+/// time since the last event allows.
+constexpr tokens unobserved_events = 8;
 
-/// How long a target has to end a run that was called off, before the worst is assumed.
-constexpr microseconds longest_call_off = milliseconds(250);
+/// How long a target has to end a cancelled attempt, before the largest possible output is charged.
+constexpr microseconds cancellation_timeout = milliseconds(250);
 
-/// A target that says these without saying that it did not run a request promises too much.
-bool promises_not_run(unsigned status) {
-    return status == status_unavailable || status == status_too_many || status == status_timeout ||
-           status == status_misdirected;
+/// True for statuses that tell a caller that the request did not run. They are not forwarded if the
+/// target did not state explicitly that the request did not run.
+bool implies_not_run(unsigned status) {
+    return status == status_unavailable || status == status_too_many_requests ||
+           status == status_request_timeout || status == status_misdirected;
 }
 
-/// Where a request may be, for logs.
+/// Formats the allowed regions for logs.
 std::string describe(const allowed_regions& regions) {
     if (!regions) {
         return "any";
@@ -41,88 +44,90 @@
 
 void forwarded_request::on_head(const message_head& head) {
     const instant now = monotonic_now();
-    note_life();
-    suspicion_.heard(now);
+    record_engine_contact();
+    suspicion_.record_activity(now);
     if (head.status != status_misdirected) {
-        // Else another target has the address, and speaks of itself.
-        context_.signals.heard(now, life_, sent_at_, request_.id,
+        // With status 421 another target has the address, and the headers describe that one.
+        context_.signals.heard(now, incarnation_, sent_at_, request_.id,
                                context_.dialect.read_signals(head));
     }
     context_.counters.histogram("gateway_target_ms").observe(now - sent_at_);
     if (!engine_request_) {
-        context_.plain_answers.observe(admitted_.service, now - sent_at_);
+        context_.plain_response_times.observe(admitted_.service, now - sent_at_);
     }
     trace_.add(now, "target_answered",
                {{"target", target_},
                 {"status", std::to_string(head.status)},
                 {"after_ms", millis_text(now - sent_at_)}});
-    answer_ = head;
-    answer_refused_ = head.count(context_.dialect.not_run) > 0 || head.status == status_misdirected;
-    if (answer_refused_) {
+    response_head_ = head;
+    target_refused_ = head.count(context_.dialect.not_run) > 0 || head.status == status_misdirected;
+    if (target_refused_) {
         return;
     }
     history_.record_possible_run();
-    rollout_.note_reached();
-    charge_.prompt_read(now);
+    rollout_.record_target_reached();
+    charge_.charge_prompt(now);
     streaming_ = is_stream(admitted_.route.kind) && head.status == status_ok;
     if (!streaming_) {
-        rollout_.note_first(now);
+        rollout_.record_first_event(now);
     }
 }
 
-/// Engines stand on the fleet's own hosts: one that answers shows that this entry reaches them.
-void forwarded_request::note_life() {
+/// Records that the gateway reaches an engine. Engines run on hosts of the fleet itself, so a
+/// response from one shows that the gateway isn't isolated.
+void forwarded_request::record_engine_contact() {
     if (admitted_.engine) {
-        context_.heard();
+        context_.record_engine_contact();
     }
 }
 
 void forwarded_request::on_piece(std::string_view piece) {
     if (streaming_) {
-        pass_stream(piece);
+        forward_stream(piece);
         return;
     }
-    answer_body_.append(piece);
+    response_body_.append(piece);
 }
 
-void forwarded_request::pass_stream(std::string_view piece) {
-    const whole_events whole = events_.add(piece);
-    if (whole.count == 0) {
+void forwarded_request::forward_stream(std::string_view piece) {
+    const complete_events complete = splitter_.add(piece);
+    if (complete.count == 0) {
         return;
     }
-    note_events(whole.count);
-    charge_.handed_out(stream_.last(), tokens_per_event() * static_cast<tokens>(whole.count));
-    if (called_off_) {
+    record_events(complete.count);
+    charge_.charge_output(stream_timing_.last_event_at(),
+                          tokens_per_event() * static_cast<tokens>(complete.count));
+    if (cancelled_) {
         return;
     }
-    if (!to_caller_.begun()) {
+    if (!caller_response_.started()) {
         context_.counters.histogram("gateway_first_event_ms")
             .observe(monotonic_now() - exchange_->received());
-        note_first_answer();
+        record_first_response();
     }
-    if (!to_caller_.pass_events(answer_, whole.bytes)) {
-        caller_gone();
+    if (!caller_response_.send_events(response_head_, complete.bytes)) {
+        on_caller_disconnected();
     }
 }
 
-/// Learns from the times at which events come, and keeps what held one up for too long.
-void forwarded_request::note_events(std::size_t count) {
+/// Records the arrival of events, and traces a gap that is longer than the route's maximum.
+void forwarded_request::record_events(std::size_t count) {
     const instant now = monotonic_now();
-    suspicion_.heard(now);
-    const bool first = stream_.events() == 0;
-    const microseconds gap = stream_.note(now, count);
-    if (first) {
-        context_.placements.first_event(run_);
-        rollout_.note_first(now);
+    suspicion_.record_activity(now);
+    const bool is_first = stream_timing_.event_count() == 0;
+    const microseconds gap = stream_timing_.record_events(now, count);
+    if (is_first) {
+        context_.placements.first_event(engine_attempt_);
+        rollout_.record_first_event(now);
         return;
     }
-    if (const std::optional<microseconds> span = stream_.take_span()) {
-        context_.placements.next_events(run_, *span);
-        note_life();
+    if (const std::optional<microseconds> span = stream_timing_.take_span()) {
+        context_.placements.next_events(engine_attempt_, *span);
+        record_engine_contact();
     }
-    context_.pauses.observe(gap);
-    const microseconds bound = admitted_.route.max_event_gap;
-    if (bound > microseconds(0) && gap > bound) {
+    context_.event_gaps.observe(gap);
+    const microseconds max_gap = admitted_.route.max_event_gap;
+    if (max_gap > microseconds(0) && gap > max_gap) {
         context_.counters.counter("gateway_late_pauses_total") += 1;
         trace_.add(now, "stream_paused",
                    {{"target", target_},
@@ -132,107 +137,110 @@
 }
 
 void forwarded_request::on_end() {
-    const bool well = answer_.status < first_server_error || answer_refused_;
-    if (called_off_) {
-        suspicion_.left(monotonic_now());
+    const bool responded_ok = response_head_.status < first_server_error || target_refused_;
+    if (cancelled_) {
+        suspicion_.record_abandonment(monotonic_now());
         end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
-        call_off_ended();
+        finish_cancellation();
         return;
     }
-    const bool whole = well && !(streaming_ && events_.has_rest());
-    const bool is_success = answer_.status >= status_ok && answer_.status < first_redirection;
-    suspicion_.answered(whole && is_success && !answer_refused_);
-    const auto answer = whole ? rollout_gate::outcome::succeeded : rollout_gate::outcome::failed;
-    end_attempt(well ? run_end::answered_well : run_end::answered_badly,
-                answer_refused_ ? rollout_gate::outcome::inconclusive : answer);
-    context_.targets.on_response(monotonic_now(), target_, well);
-    if (answer_refused_) {
-        if (answer_.status == status_misdirected) {
-            // Another life of the target has its address.
+    const bool complete = responded_ok && !(streaming_ && splitter_.has_partial_event());
+    const bool is_success =
+        response_head_.status >= status_ok && response_head_.status < first_redirection;
+    suspicion_.record_response(complete && is_success && !target_refused_);
+    const auto attempt_outcome =
+        complete ? rollout_gate::outcome::succeeded : rollout_gate::outcome::failed;
+    end_attempt(responded_ok ? run_end::answered_well : run_end::answered_badly,
+                target_refused_ ? rollout_gate::outcome::inconclusive : attempt_outcome);
+    context_.targets.on_response(monotonic_now(), target_, responded_ok);
+    if (target_refused_) {
+        if (response_head_.status == status_misdirected) {
+            // Another incarnation of the target has its address.
             context_.targets.remove(monotonic_now(), target_);
             context_.targets.on_failure(monotonic_now(), target_);
         }
-        answer_refused();
+        handle_refusal();
         return;
     }
     if (streaming_) {
         end_stream();
         return;
     }
-    answer_complete();
+    handle_response();
 }
 
 void forwarded_request::end_stream() {
-    if (events_.has_rest()) {
-        attempt_broken();
+    if (splitter_.has_partial_event()) {
+        on_attempt_interrupted();
         return;
     }
-    to_caller_.end_stream(answer_);
-    finish("served", answer_.status);
+    caller_response_.end_stream(response_head_);
+    finish("served", response_head_.status);
 }
 
-void forwarded_request::answer_complete() {
-    const bool failure = answer_.status >= first_server_error;
-    if (failure && try_again()) {
+void forwarded_request::handle_response() {
+    const bool failure = response_head_.status >= first_server_error;
+    if (failure && retry()) {
         return;
     }
-    if (promises_not_run(answer_.status)) {
-        fail(status_bad_gateway, "target_answered_" + std::to_string(answer_.status));
+    if (implies_not_run(response_head_.status)) {
+        fail(status_bad_gateway, "target_answered_" + std::to_string(response_head_.status));
         return;
     }
-    pass_answer();
+    forward_response();
 }
 
-void forwarded_request::answer_refused() {
+void forwarded_request::handle_refusal() {
     history_.record_refusal();
-    if (try_again()) {
+    if (retry()) {
         return;
     }
     if (history_.may_have_run()) {
         fail(status_bad_gateway, "refused_after_a_run");
         return;
     }
-    refuse(status_unavailable, "target_refused_" + std::to_string(answer_.status),
-           until_another_target());
+    refuse(status_unavailable, "target_refused_" + std::to_string(response_head_.status),
+           next_target_retry_after());
 }
 
-/// The target's own answer, as it came.
-void forwarded_request::pass_answer() {
-    if (to_caller_.begun()) {
-        cut("resumed_with_" + std::to_string(answer_.status));
+/// Forwards the target's complete response unchanged.
+void forwarded_request::forward_response() {
+    if (caller_response_.started()) {
+        abort_response("resumed_with_" + std::to_string(response_head_.status));
         return;
     }
-    note_first_answer();
-    to_caller_.pass_whole(answer_, answer_body_);
-    finish("served", answer_.status);
+    record_first_response();
+    caller_response_.send_complete(response_head_, response_body_);
+    finish("served", response_head_.status);
 }
 
-void forwarded_request::end_attempt(run_end how, rollout_gate::outcome answer) {
-    call_.reset();
-    rollout_.end(answer, stream_.pace());
+void forwarded_request::end_attempt(run_end end, rollout_gate::outcome rollout_outcome) {
+    upstream_call_.reset();
+    rollout_.end_attempt(rollout_outcome, stream_timing_.mean_event_interval());
     context_.targets.on_finished(target_);
-    const placed_run run = std::exchange(run_, {});
-    if (run.number != 0) {
-        context_.placements.ended(run, how);
+    const placed_run attempt = std::exchange(engine_attempt_, {});
+    if (attempt.number != 0) {
+        context_.placements.ended(attempt, end);
     }
 }
 
 void forwarded_request::on_failed(upstream_failure failure) {
-    // What ends targets of one version and of another says nothing of either.
-    const bool says_nothing = called_off_ || failure == upstream_failure::not_sent ||
-                              suspicion_.held() != suspicion::none;
-    if (called_off_) {
-        suspicion_.left(monotonic_now());
+    // A request that crashes targets of both versions is no evidence against either.
+    const bool is_inconclusive = cancelled_ || failure == upstream_failure::not_sent ||
+                                 suspicion_.level() != suspicion::none;
+    if (cancelled_) {
+        suspicion_.record_abandonment(monotonic_now());
     } else {
-        suspicion_.broke(monotonic_now(), failure);
+        suspicion_.record_connection_failure(monotonic_now(), failure);
     }
-    end_attempt(called_off_ ? run_end::left : run_end::failed,
-                says_nothing ? rollout_gate::outcome::inconclusive : rollout_gate::outcome::failed);
-    if (called_off_) {
+    end_attempt(
+        cancelled_ ? run_end::left : run_end::failed,
+        is_inconclusive ? rollout_gate::outcome::inconclusive : rollout_gate::outcome::failed);
+    if (cancelled_) {
         if (failure != upstream_failure::cut_short) {
-            assume_unseen();
+            charge_unobserved_output();
         }
-        call_off_ended();
+        finish_cancellation();
         return;
     }
     trace_.add(monotonic_now(), "attempt_failed",
@@ -240,26 +248,26 @@
                 {"attempt", std::to_string(history_.attempt_number())},
                 {"failure", std::string(name_of(failure))},
                 {"fingerprint", suspicion_.fingerprint().to_hex()},
-                {"held", std::string(name_of(suspicion_.held()))},
+                {"held", std::string(name_of(suspicion_.level()))},
                 {"after_ms", millis_text(monotonic_now() - sent_at_)}});
     context_.targets.on_failure(monotonic_now(), target_);
     if (failure == upstream_failure::not_sent) {
-        attempt_unsent();
+        on_attempt_unsent();
         return;
     }
     history_.record_possible_run();
-    attempt_broken();
+    on_attempt_interrupted();
 }
 
-/// The target couldn't be connected to, so that another may be offered the request.
-void forwarded_request::attempt_unsent() {
+/// The connection to the target could not be opened, so the request may be sent to another one.
+void forwarded_request::on_attempt_unsent() {
     history_.record_unsent();
-    if (admitted_.engine && monotonic_now() - sent_at_ >= least_silence) {
-        context_.target_silent(target_);
+    if (admitted_.engine && monotonic_now() - sent_at_ >= min_unresponsive_time) {
+        context_.record_unresponsive_target(target_);
     }
-    const bool may_offer = history_.can_retry_unsent() && time_left() > microseconds(0);
-    if (may_offer && !context_.isolated()) {
-        context_.retries.followed_unsent(admitted_.service);
+    const bool can_resend_unsent = history_.can_retry_unsent() && time_left() > microseconds(0);
+    if (can_resend_unsent && !context_.is_isolated()) {
+        context_.retries.record_unbudgeted_retry(admitted_.service);
         dispatch();
         return;
     }
@@ -267,203 +275,209 @@
         fail(status_bad_gateway, "target_lost");
         return;
     }
-    refuse(status_unavailable, "targets_unreachable", until_targets);
+    refuse(status_unavailable, "targets_unreachable", targets_retry_after);
 }
 
-/// An attempt that may have run ended without a whole answer.
-void forwarded_request::attempt_broken() {
-    events_.drop_rest();
-    assume_unseen();
-    if (try_again()) {
+/// Handles the end of an attempt that may have run and has no complete response.
+void forwarded_request::on_attempt_interrupted() {
+    splitter_.discard_partial_event();
+    charge_unobserved_output();
+    if (retry()) {
         return;
     }
     fail(status_bad_gateway, "target_lost");
 }
 
-/// A suspect that is under way elsewhere waits for the end of that run, which clears it or doesn't.
+/// Refuses a suspected request. While another attempt of it is active, it has to wait for the
+/// result of that attempt, which clears or confirms the suspicion.
 void forwarded_request::refuse_suspect() {
-    const bool quarantined = suspicion_.held() == suspicion::quarantined;
+    const bool quarantined = suspicion_.level() == suspicion::quarantined;
     if (quarantined || history_.may_have_run()) {
         fail(status_bad_gateway, quarantined ? "request_quarantined" : "suspect_under_way");
         return;
     }
-    refuse(status_unavailable, "suspect_under_way", until_suspect_ended);
+    refuse(status_unavailable, "suspect_under_way", suspect_retry_after);
 }
 
-void forwarded_request::stop_if_quarantined(const digest& request) {
-    if (ended_ || called_off_ || call_ == nullptr || !suspicion_.is_under_way(request)) {
+void forwarded_request::abort_if_quarantined(const digest& request) {
+    if (ended_ || cancelled_ || upstream_call_ == nullptr ||
+        !suspicion_.has_active_attempt(request)) {
         return;
     }
-    const bool sent = call_->sent();
-    suspicion_.left(monotonic_now());
+    const bool sent = upstream_call_->sent();
+    suspicion_.record_abandonment(monotonic_now());
     end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
     if (sent) {
         history_.record_possible_run();
-        assume_unseen();
+        charge_unobserved_output();
     }
     fail(status_bad_gateway, "request_quarantined");
 }
 
-/// True if the request may go to another target: the answer can go on from there, and the retries
-/// allow it, of which this takes one.
-bool forwarded_request::take_retry() {
-    const bool can_go_on = !to_caller_.begun() || !events_.last_id().empty();
-    const bool may_try = can_go_on && suspicion_.held() == suspicion::none &&
-                         time_left() > microseconds(0) &&
-                         history_.can_resend(admitted_.route.kind, admitted_.route.max_attempts);
-    if (!may_try) {
+/// Returns true if the request may be retried at another target: the response can be continued from
+/// there, and the retry budget, from which one retry is taken, allows it.
+bool forwarded_request::try_acquire_retry() {
+    const bool can_continue = !caller_response_.started() || !splitter_.last_event_id().empty();
+    const bool may_retry = can_continue && suspicion_.level() == suspicion::none &&
+                           time_left() > microseconds(0) &&
+                           history_.can_resend(admitted_.route.kind, admitted_.route.max_attempts);
+    if (!may_retry) {
         return false;
     }
     const instant now = monotonic_now();
-    const double allowed = context_.retries.allowed(now, admitted_.service);
-    const bool taken = context_.retries.take(now, admitted_.service);
-    trace_.add(now, taken ? "retry_taken" : "retry_denied",
+    const double allowed = context_.retries.available_retries(now, admitted_.service);
+    const bool acquired = context_.retries.try_acquire_retry(now, admitted_.service);
+    trace_.add(now, acquired ? "retry_taken" : "retry_denied",
                {{"service", admitted_.service}, {"allowed", std::to_string(allowed)}});
-    return taken;
+    return acquired;
 }
 
-/// Sends the request to another target, if it may go there.
-bool forwarded_request::try_again() {
-    if (!take_retry()) {
+/// Sends the request to another target if a retry is allowed. Returns false if not.
+bool forwarded_request::retry() {
+    if (!try_acquire_retry()) {
         return false;
     }
     dispatch();
     return true;
 }
 
-void forwarded_request::deadline_passed() {
-    if (ended_ || called_off_) {
+void forwarded_request::on_deadline() {
+    if (ended_ || cancelled_) {
         return;
     }
-    const bool sent = call_ != nullptr && call_->sent();
-    suspicion_.left(monotonic_now());
-    if (call_) {
+    const bool sent = upstream_call_ != nullptr && upstream_call_->sent();
+    suspicion_.record_abandonment(monotonic_now());
+    if (upstream_call_) {
         end_attempt(run_end::left,
-                    sent ? answer_at_deadline() : rollout_gate::outcome::inconclusive);
+                    sent ? outcome_at_deadline() : rollout_gate::outcome::inconclusive);
     }
     if (!sent && !history_.may_have_run()) {
-        refuse(status_unavailable, "deadline_before_sending", until_targets);
+        refuse(status_unavailable, "deadline_before_sending", targets_retry_after);
         return;
     }
     history_.record_possible_run();
     if (sent) {
-        assume_unseen();
+        charge_unobserved_output();
     }
     fail(status_gateway_timeout, "deadline");
 }
 
-/// A target that had most of the time that the caller gave, and didn't end, did badly. One that got
-/// the request late says nothing.
-rollout_gate::outcome forwarded_request::answer_at_deadline() const {
-    const microseconds had = deadline_ - sent_at_;
-    const microseconds given = deadline_ - exchange_->received();
-    return had * 2 >= given ? rollout_gate::outcome::failed : rollout_gate::outcome::inconclusive;
+/// A target that had the request for at least half of the time that the caller allowed and did not
+/// finish it counts as failed. One that received it later is inconclusive.
+rollout_gate::outcome forwarded_request::outcome_at_deadline() const {
+    const microseconds attempt_time = deadline_ - sent_at_;
+    const microseconds request_time = deadline_ - exchange_->received();
+    return attempt_time * 2 >= request_time ? rollout_gate::outcome::failed
+                                            : rollout_gate::outcome::inconclusive;
 }
 
-void forwarded_request::join_rollout(const std::string& service) {
-    if (!ended_ && call_ != nullptr && admitted_.service == service) {
-        rollout_.join(context_.targets.find(target_));
+void forwarded_request::on_rollout_order(const std::string& service) {
+    if (!ended_ && upstream_call_ != nullptr && admitted_.service == service) {
+        rollout_.adopt_order(context_.targets.find(target_));
     }
 }
 
-/// Calls the run off. A target that hadn't begun ends the connection without a word, so that the
-/// account needn't pay for what the caller never could have got.
-void forwarded_request::caller_gone() {
-    if (ended_ || called_off_) {
+/// Cancels the current attempt. A target that had not started the request closes the connection
+/// without a response, so that the account is not charged for output that the caller could not have
+/// received.
+void forwarded_request::on_caller_disconnected() {
+    if (ended_ || cancelled_) {
         return;
     }
-    called_off_ = true;
-    waiting_.reset();
-    placing_.reset();
-    drop_turn();
-    if (call_ == nullptr || !call_->sent()) {
-        call_off_ended();
+    cancelled_ = true;
+    token_wait_.reset();
+    placement_.reset();
+    cancel_pending_send();
+    if (upstream_call_ == nullptr || !upstream_call_->sent()) {
+        finish_cancellation();
         return;
     }
-    call_->call_off();
-    context_.loop.call_after(longest_call_off, [self = weak_from_this()] {
+    upstream_call_->call_off();
+    context_.loop.call_after(cancellation_timeout, [self = weak_from_this()] {
         if (const auto alive = self.lock()) {
-            alive->assume_unseen();
-            alive->call_off_ended();
+            alive->charge_unobserved_output();
+            alive->finish_cancellation();
         }
     });
 }
 
-void forwarded_request::call_off_ended() {
+void forwarded_request::finish_cancellation() {
     if (ended_) {
         return;
     }
-    if (call_) {
-        suspicion_.left(monotonic_now());
+    if (upstream_call_) {
+        suspicion_.record_abandonment(monotonic_now());
         end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
     }
     finish("caller_gone", 0);
 }
 
 void forwarded_request::refuse(unsigned status, std::string_view reason, microseconds retry_after) {
-    if (to_caller_.begun()) {
-        cut(reason);
+    if (caller_response_.started()) {
+        abort_response(reason);
         return;
     }
-    to_caller_.refuse(request_.id, status, reason, retry_after);
+    caller_response_.refuse(request_.id, status, reason, retry_after);
     finish(reason, status);
 }
 
-/// Charges what the target of an attempt may have handed out since its last event came. To be
-/// called once an attempt, when its connection is closed: nothing more can be handed to this
-/// process then.
-void forwarded_request::assume_unseen() {
+/// Charges the tokens that the target of an attempt may have produced since its last event. To be
+/// called once per attempt, when its connection is closed: this process can receive nothing more
+/// then.
+void forwarded_request::charge_unobserved_output() {
     const instant now = monotonic_now();
-    const microseconds silence = now - std::max(sent_at_, stream_.last());
-    const tokens possible = silence / context_.settings.least_time_per_token;
-    charge_.assume(now, possible + tokens_per_event() * unseen_events);
+    const microseconds silence = now - std::max(sent_at_, stream_timing_.last_event_at());
+    const tokens possible_tokens = silence / context_.settings.least_time_per_token;
+    charge_.charge_unobserved(now, possible_tokens + tokens_per_event() * unobserved_events);
 }
 
-/// Ends an answer that was begun and can't be finished, so that the caller sees that it isn't
-/// whole.
-void forwarded_request::cut(std::string_view reason) {
-    to_caller_.cut();
+/// Closes a started response that can't be completed, so that the caller sees that it is
+/// incomplete.
+void forwarded_request::abort_response(std::string_view reason) {
+    caller_response_.abort();
     finish(reason, 0);
 }
 
 void forwarded_request::fail(unsigned status, std::string_view reason) {
-    if (to_caller_.begun()) {
-        cut(reason);
+    if (caller_response_.started()) {
+        abort_response(reason);
         return;
     }
-    to_caller_.fail(request_.id, status, reason);
+    caller_response_.fail(request_.id, status, reason);
     finish(reason, status);
 }
 
-/// Counts an answer, or the first event of a stream, that comes later than its route's aim.
-void forwarded_request::note_first_answer() const {
-    const microseconds aim = admitted_.route.first_response_objective;
-    if (aim > microseconds(0) && monotonic_now() - exchange_->received() > aim) {
+/// Counts a response, or the first event of a stream, that is later than the objective of its
+/// route.
+void forwarded_request::record_first_response() const {
+    const microseconds objective = admitted_.route.first_response_objective;
+    if (objective > microseconds(0) && monotonic_now() - exchange_->received() > objective) {
         count_by_region("gateway_late_by_region_total");
     }
 }
 
-/// Counts by the regions of this entry, to which the caller came, and of the last target. A region
-/// that nobody named, or that of no target, is empty.
-void forwarded_request::count_by_region(std::string_view what) const {
+/// Increments a counter that is labelled with the region of this gateway, to which the caller
+/// connected, and that of the last target. The label is empty for a failure domain without a region
+/// or if there is no target.
+void forwarded_request::count_by_region(std::string_view counter) const {
     const gateway_settings& settings = context_.settings;
     const metric_label caller{"caller", settings.regions.region_of(settings.failure_domain)};
     const metric_label target{"target", context_.targets.region_of(target_)};
-    context_.counters.counter(labelled(what, {caller, target})) += 1;
+    context_.counters.counter(labelled(counter, {caller, target})) += 1;
 }
 
-/// Counts the end and tells the request's story: all of one that failed, and of a sample of the
-/// rest.
-void forwarded_request::note_end(std::string_view outcome, unsigned status) {
+/// Counts the outcome and logs the trace: of every request that failed, and of a sample of the
+/// others.
+void forwarded_request::record_end(std::string_view outcome, unsigned status) {
     const bool served = outcome == "served" && status < first_server_error;
     const bool has_content = !served && !admitted_.service.empty();
     const instant now = monotonic_now();
-    const microseconds took = now - exchange_->received();
-    const std::string_view result = served ? "served" : (status == 0 ? "cut" : "failed");
+    const microseconds duration = now - exchange_->received();
+    const std::string_view outcome_label = served ? "served" : (status == 0 ? "cut" : "failed");
     count_by_region(status == status_unavailable ? "gateway_refused_by_region_total"
                                                  : "gateway_requests_by_region_total");
-    context_.counters.histogram(labelled("gateway_request_ms", {{"outcome", result}}))
-        .observe(took);
+    context_.counters.histogram(labelled("gateway_request_ms", {{"outcome", outcome_label}}))
+        .observe(duration);
     trace_.add(now, "request_ended",
                {{"outcome", std::string(outcome)},
                 {"status", std::to_string(status)},
@@ -477,26 +491,27 @@
                 {"attempts", std::to_string(history_.attempt_number())},
                 {"tokens", std::to_string(charge_.spent())},
                 {"prompt", std::to_string(charge_.prompt_spent())},
-                {"longest_pause_ms", millis_text(stream_.longest_pause())},
-                {"took_ms", millis_text(took)}});
-    const bool wanted =
-        !served || request_trace::sampled(trace_.id(), context_.settings.log_served_percent);
-    if (wanted) {
-        context_.events.tell(trace_, !served);
+                {"longest_pause_ms", millis_text(stream_timing_.longest_gap())},
+                {"took_ms", millis_text(duration)}});
+    const bool should_log =
+        !served || request_trace::is_sampled(trace_.id(), context_.settings.log_served_percent);
+    if (should_log) {
+        context_.log.log_request(trace_, !served);
     }
 }
 
 void forwarded_request::finish(std::string_view outcome, unsigned status) {
     ended_ = true;
-    waiting_.reset();
-    placing_.reset();
-    drop_turn();
-    charge_.close();
+    token_wait_.reset();
+    placement_.reset();
+    cancel_pending_send();
+    charge_.settle();
     context_.counters.counter("gateway_outcome_" + std::string(outcome) + "_total") += 1;
-    note_end(outcome, status);
-    context_.loop.call_after(
-        microseconds(0),
-        [&requests = context_.requests, self = shared_from_this()] { requests.erase(self); });
+    record_end(outcome, status);
+    context_.loop.call_after(microseconds(0),
+                             [&requests = context_.active_requests, self = shared_from_this()] {
+                                 requests.erase(self);
+                             });
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/forwarded_choice.cpp
+++ b/src/roles/gateway/forwarded_choice.cpp
@@ -1,4 +1,4 @@
-// How a forwarded request comes to its target: by what may be chosen, by turns, or not at all.
+// The part of forwarded_request that chooses a target and waits for a permit to send to it.
 
 #include <algorithm>
 #include <utility>
@@ -10,11 +10,11 @@
 namespace wrenswitch {
 namespace {
 
-/// How often a request that no version may get right now is looked at again.
-constexpr microseconds until_versions = milliseconds(40);
+/// How often a request is retried that a rollout currently allows no version.
+constexpr microseconds version_poll_period = milliseconds(40);
 
-/// How long a request waits for a turn if its route has no aim.
-constexpr microseconds usual_turn_wait = milliseconds(300);
+/// The longest wait for a send permit if the route has no objective for its first response.
+constexpr microseconds default_permit_wait = milliseconds(300);
 
 }  // namespace
 
@@ -28,7 +28,7 @@
                            admitted_.route.max_event_gap,
                            {}};
     }
-    const bool suspected = suspicion_.held() != suspicion::none;
+    const bool suspected = suspicion_.level() != suspicion::none;
     const auto versions =
         rollout_.choose_versions(monotonic_now(), history_.attempt_number() + 1, suspected);
     if (versions) {
@@ -38,196 +38,206 @@
     }
 }
 
-/// Right before a roll-out's deadline the old version may get nothing that it couldn't end, and the
-/// new one no more than its bound allows. That is over within some 400 ms.
+/// Shortly before the deadline of a rollout the old version gets no request that it could not
+/// finish, and the new one no more than its bound allows. This lasts at most about 400 ms.
 void forwarded_request::wait_for_versions() {
     context_.counters.counter("gateway_waits_for_versions_total") += 1;
-    context_.loop.call_after(until_versions, [self = weak_from_this()] {
+    context_.loop.call_after(version_poll_period, [self = weak_from_this()] {
         const auto alive = self.lock();
-        if (alive && !alive->ended_ && !alive->called_off_) {
+        if (alive && !alive->ended_ && !alive->cancelled_) {
             alive->dispatch();
         }
     });
 }
 
-/// What the configuration and a roll-out of the service leave of its targets is what may be chosen.
+/// Chooses among the targets of the service that the configuration and the rollout allow.
 void forwarded_request::choose_target(const version_constraint& versions) {
-    const candidate_constraints limits{admitted_.regions, versions};
+    const candidate_constraints constraints{admitted_.regions, versions};
     if (!engine_request_) {
-        target_chosen(context_.targets.pick(monotonic_now(), admitted_.service, left_out(),
-                                            admitted_.route.first_response_objective,
-                                            may_repeat(admitted_.route.kind), limits),
-                      {});
+        on_target_chosen(
+            context_.targets.pick(monotonic_now(), admitted_.service, excluded_targets(),
+                                  admitted_.route.first_response_objective,
+                                  may_repeat(admitted_.route.kind), constraints),
+            {});
         return;
     }
-    engine_request_->constraints = limits;
-    const unsigned choice = ++choices_;
-    auto placing = context_.placements.place(
-        admitted_.service, *engine_request_, left_out(), time_left(),
-        [self = weak_from_this()](const target_choice& chosen, const placed_run& run) {
+    engine_request_->constraints = constraints;
+    const unsigned placement_number = ++placement_count_;
+    auto handle = context_.placements.place(
+        admitted_.service, *engine_request_, excluded_targets(), time_left(),
+        [self = weak_from_this()](const target_choice& chosen, const placed_run& attempt) {
             if (const auto alive = self.lock()) {
-                alive->target_chosen(chosen, run);
+                alive->on_target_chosen(chosen, attempt);
             }
         });
-    if (choice == choices_) {
-        // Else the answer came at once, and another choice began.
-        placing_ = std::move(placing);
+    if (placement_number == placement_count_) {
+        // Otherwise the callback was called at once and has started another choice.
+        placement_ = std::move(handle);
     }
 }
 
-/// The targets that this request doesn't go to now: those already tried, and those to which this
-/// entry may send nothing in time by what they say of themselves.
-std::vector<std::string> forwarded_request::left_out() {
-    std::vector<std::string> all = context_.targets.targets_without_permit(
-        monotonic_now(), admitted_.service, wish_for_turn());
-    all.insert(all.end(), history_.tried_targets().begin(), history_.tried_targets().end());
-    return all;
+/// The targets that this request is not sent to now: those already tried, and those whose
+/// advertised limits or backoffs give this gateway no permit in time.
+std::vector<std::string> forwarded_request::excluded_targets() {
+    std::vector<std::string> excluded = context_.targets.targets_without_permit(
+        monotonic_now(), admitted_.service, make_permit_request());
+    excluded.insert(excluded.end(), history_.tried_targets().begin(),
+                    history_.tried_targets().end());
+    return excluded;
 }
 
-/// The more urgent a request is, the further away a turn it may take. That alone isn't enough: who
-/// comes more often finds most turns, so that others leave one where more urgent requests come.
-microseconds forwarded_request::longest_turn_wait() const {
-    return bearable_turn_wait() / (1 + admitted_.priority);
+/// The longest acceptable wait for a send permit; the higher the priority of a request, the longer.
+/// This alone isn't enough, since the most frequent requests would get most of the permits. So
+/// requests of lower priority also spare a permit for higher ones.
+microseconds forwarded_request::max_permit_wait() const {
+    return base_permit_wait() / (1 + admitted_.priority);
 }
 
-microseconds forwarded_request::bearable_turn_wait() const {
-    const microseconds aim = admitted_.route.first_response_objective;
-    return aim > microseconds(0) ? aim : usual_turn_wait;
+microseconds forwarded_request::base_permit_wait() const {
+    const microseconds objective = admitted_.route.first_response_objective;
+    return objective > microseconds(0) ? objective : default_permit_wait;
 }
 
-permit_request forwarded_request::wish_for_turn() const {
-    const bool leaves_one =
-        context_.urgencies.has_more_urgent(monotonic_now(), admitted_.service, admitted_.priority);
-    return {patience_, leaves_one ? bearable_turn_wait() : microseconds(0)};
+permit_request forwarded_request::make_permit_request() const {
+    const bool leave_permit =
+        context_.priorities.has_more_urgent(monotonic_now(), admitted_.service, admitted_.priority);
+    return {allowed_permit_wait_, leave_permit ? base_permit_wait() : microseconds(0)};
 }
 
-void forwarded_request::target_chosen(const target_choice& choice, const placed_run& run) {
+void forwarded_request::on_target_chosen(const target_choice& choice, const placed_run& attempt) {
     if (choice.target == nullptr) {
-        no_target_left(choice.all_cold);
+        on_no_target(choice.all_cold);
         return;
     }
-    const std::optional<send_permit> taken =
-        context_.targets.reserve_permit(monotonic_now(), choice.target->id, patience_);
-    if (!taken) {
-        // Another request has taken the turn since the engine's keeper was asked.
+    const std::optional<send_permit> acquired =
+        context_.targets.reserve_permit(monotonic_now(), choice.target->id, allowed_permit_wait_);
+    if (!acquired) {
+        // Another request has taken the permit since the engine's coordinator was queried.
         context_.counters.counter("gateway_turns_lost_total") += 1;
-        give_back(run);
+        cancel_placement(attempt);
         dispatch();
         return;
     }
-    const send_permit turn{std::max(taken->wait, choice.wait), taken->limit_epoch};
-    if (turn.wait > microseconds(0)) {
-        wait_for_turn(choice, run, turn);
+    const send_permit permit{std::max(acquired->wait, choice.wait), acquired->limit_epoch};
+    if (permit.wait > microseconds(0)) {
+        wait_for_permit(choice, attempt, permit);
     } else {
-        send_to(choice, run, turn);
+        send_to(choice, attempt, permit);
     }
 }
 
-/// A target that is cold or names a limit gets its requests one after the other. The wait is known,
-/// and short enough for the answer to be in time; a refusal would cost the caller its first try.
-void forwarded_request::wait_for_turn(const target_choice& choice, const placed_run& run,
-                                      const send_permit& turn) {
+/// Waits for a send permit: a target that is warming up or advertises a limit gets its requests one
+/// after the other. The wait is known and short enough for a response in time, while a refusal
+/// would cost the caller its first attempt.
+void forwarded_request::wait_for_permit(const target_choice& choice, const placed_run& attempt,
+                                        const send_permit& permit) {
     trace_.add(monotonic_now(), "turn_awaited",
                {{"target", choice.target->id},
-                {"wait_ms", millis_text(turn.wait)},
+                {"wait_ms", millis_text(permit.wait)},
                 {"load", context_.targets.describe(monotonic_now(), choice.target->id)}});
-    context_.counters.histogram("gateway_turn_wait_ms").observe(turn.wait);
-    turn_ = turn_at_target{choice, choice.target->id,
-                           choice.copy_from == nullptr ? "" : choice.copy_from->id, run, turn};
-    context_.loop.call_after(turn.wait, [self = weak_from_this()] {
+    context_.counters.histogram("gateway_turn_wait_ms").observe(permit.wait);
+    pending_send_ =
+        pending_send{choice, choice.target->id,
+                     choice.copy_from == nullptr ? "" : choice.copy_from->id, attempt, permit};
+    context_.loop.call_after(permit.wait, [self = weak_from_this()] {
         const auto alive = self.lock();
-        if (alive && alive->turn_) {
-            alive->turn_came();
+        if (alive && alive->pending_send_) {
+            alive->on_permit_due();
         }
     });
 }
 
-/// The target may have been lost, emptied or forbidden meanwhile; then another is looked for.
-void forwarded_request::turn_came() {
+/// The target may have been lost, evacuated or excluded by its region meanwhile; then another one
+/// is chosen.
+void forwarded_request::on_permit_due() {
     admitted_.regions =
         current_allowed_regions(context_.configuration, admitted_, request_.host, request_.path);
-    if (!context_.targets.is_usable(turn_->target, admitted_.service, {admitted_.regions, {}})) {
-        drop_turn();
+    if (!context_.targets.is_usable(pending_send_->target, admitted_.service,
+                                    {admitted_.regions, {}})) {
+        cancel_pending_send();
         dispatch();
         return;
     }
-    turn_at_target turn = std::move(*turn_);
-    turn_.reset();
-    turn.choice.target = context_.targets.find(turn.target);
-    const bool copies = context_.targets.may_copy(turn.copy_from, turn.target, admitted_.regions);
-    turn.choice.copy_from = copies ? context_.targets.find(turn.copy_from) : nullptr;
-    send_to(turn.choice, turn.run, turn.turn);
+    pending_send pending = std::move(*pending_send_);
+    pending_send_.reset();
+    pending.choice.target = context_.targets.find(pending.target);
+    const bool may_copy_prefix =
+        context_.targets.may_copy(pending.copy_from, pending.target, admitted_.regions);
+    pending.choice.copy_from = may_copy_prefix ? context_.targets.find(pending.copy_from) : nullptr;
+    send_to(pending.choice, pending.attempt, pending.permit);
 }
 
-/// A run that was counted at an engine never gets there.
-void forwarded_request::drop_turn() {
-    if (!turn_) {
+/// Cancels the wait for a permit, and the attempt that was counted at the engine.
+void forwarded_request::cancel_pending_send() {
+    if (!pending_send_) {
         return;
     }
-    const placed_run run = std::move(turn_->run);
-    turn_.reset();
-    give_back(run);
+    const placed_run attempt = std::move(pending_send_->attempt);
+    pending_send_.reset();
+    cancel_placement(attempt);
 }
 
-/// An engine was chosen, and the request doesn't go there.
-void forwarded_request::give_back(const placed_run& run) {
-    if (run.number != 0) {
-        context_.placements.ended(run, run_end::left);
+/// Reports that a chosen engine does not get the request.
+void forwarded_request::cancel_placement(const placed_run& attempt) {
+    if (attempt.number != 0) {
+        context_.placements.ended(attempt, run_end::left);
     }
 }
 
-/// True if the request now looks again, among targets too whose turns it has to wait for: all
-/// others are no choice.
-bool forwarded_request::may_wait_for_turn() {
-    if (patience_ > microseconds(0)) {
+/// Allows the request to wait for a send permit if no target is available without one. Returns true
+/// if another choice can now succeed.
+bool forwarded_request::enable_permit_wait() {
+    if (allowed_permit_wait_ > microseconds(0)) {
         return false;
     }
-    if (!context_.targets.has_permit(monotonic_now(), admitted_.service, longest_turn_wait())) {
+    if (!context_.targets.has_permit(monotonic_now(), admitted_.service, max_permit_wait())) {
         return false;
     }
-    patience_ = longest_turn_wait();
+    allowed_permit_wait_ = max_permit_wait();
     return true;
 }
 
-void forwarded_request::no_target_left(bool all_cold) {
-    if (may_wait_for_turn()) {
+void forwarded_request::on_no_target(bool all_cold) {
+    if (enable_permit_wait()) {
         dispatch();
         return;
     }
-    if (const auto versions = rollout_.look_further(all_cold)) {
+    if (const auto versions = rollout_.choose_fallback_versions(all_cold)) {
         choose_target(*versions);
     } else {
         refuse_without_target(all_cold);
     }
 }
 
-/// What can't be served in time by what its targets say is refused at once, and told when there is
-/// a turn again.
+/// Refuses a request that no target can serve in time, with the time at which the next permit is
+/// due.
 void forwarded_request::refuse_without_target(bool all_cold) {
-    const auto soonest = context_.targets.earliest_permit(monotonic_now(), admitted_.service);
+    const auto earliest = context_.targets.earliest_permit(monotonic_now(), admitted_.service);
     if (history_.may_have_run()) {
         fail(status_bad_gateway, "no_target_left");
     } else if (all_cold) {
-        refuse(status_unavailable, "targets_cold", until_turns);
-    } else if (soonest) {
-        refuse(status_unavailable, soonest->is_backoff ? "targets_resting" : "targets_limited",
-               std::clamp(soonest->wait, until_turns, longest_until_turns));
+        refuse(status_unavailable, "targets_cold", permit_retry_after);
+    } else if (earliest) {
+        refuse(status_unavailable, earliest->is_backoff ? "targets_resting" : "targets_limited",
+               std::clamp(earliest->wait, permit_retry_after, max_permit_retry_after));
     } else if (admitted_.regions) {
-        refuse(status_unavailable, "no_target_in_allowed_regions", until_targets);
+        refuse(status_unavailable, "no_target_in_allowed_regions", targets_retry_after);
     } else {
-        refuse(status_unavailable, "no_target", until_targets);
+        refuse(status_unavailable, "no_target", targets_retry_after);
     }
 }
 
-/// Another target may serve the caller at once, if there is one; else the first whose rest ends or
-/// which has a turn.
-microseconds forwarded_request::until_another_target() {
+/// The time after which the caller should retry: soon if another target is available, else when the
+/// first backoff ends or the first permit is due.
+microseconds forwarded_request::next_target_retry_after() {
     const instant now = monotonic_now();
-    if (context_.targets.has_untried(now, admitted_.service, left_out(), {admitted_.regions, {}})) {
-        return until_targets;
+    if (context_.targets.has_untried(now, admitted_.service, excluded_targets(),
+                                     {admitted_.regions, {}})) {
+        return targets_retry_after;
     }
-    const auto soonest = context_.targets.earliest_permit(now, admitted_.service);
-    return soonest ? std::clamp(soonest->wait, until_targets, longest_until_turns) : until_targets;
+    const auto earliest = context_.targets.earliest_permit(now, admitted_.service);
+    return earliest ? std::clamp(earliest->wait, targets_retry_after, max_permit_retry_after)
+                    : targets_retry_after;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/forwarded_request.hpp
+++ b/src/roles/gateway/forwarded_request.hpp
@@ -21,144 +21,148 @@
 
 namespace wrenswitch {
 
-/// What a request waits for that is to go to a target which is cold or names a limit.
-struct turn_at_target {
-    /// The choice, whose targets may be gone until then; they are looked up by these again.
+/// A request that waits for its send permit at a target that is warming up or advertises a limit.
+struct pending_send {
+    /// The chosen targets. The pointers may dangle once the permit is due, so the targets are
+    /// looked up again by their identifiers `target` and `copy_from`.
     target_choice choice;
     std::string target;
     std::string copy_from;
-    placed_run run;
-    send_permit turn;
+    placed_run attempt;
+    send_permit permit;
 };
 
-/// One request of a caller, from its arrival to the end of its answer: admits it, pays for it,
-/// sends it to a target and passes the answer on. It ends with the target's own answer, or with a
-/// refusal that says whether the request may have run.
+/// One request of a caller, from its arrival to the end of its response: admits it, reserves and
+/// spends its tokens, sends it to a target, retries it at others and forwards the response. It ends
+/// with the target's own response or with an error that tells whether the request may have run.
 class forwarded_request : public std::enable_shared_from_this<forwarded_request> {
 public:
     forwarded_request(gateway_context& context, ingress_exchange_pointer exchange);
 
-    /// Begins. The request keeps itself in the context until it has ended.
+    /// Starts processing. The request keeps itself alive in the context until it has ended.
     void start();
 
-    /// A roll-out of this service was ordered while the request may be under way.
-    void join_rollout(const std::string& service);
+    /// Handles a new rollout order for the service while the request may have an active attempt.
+    void on_rollout_order(const std::string& service);
 
-    /// A request is sent to no target any more. If it is this one, its run is ended before it takes
-    /// its target along.
-    void stop_if_quarantined(const digest& request);
+    /// Handles the quarantine of a request. If it is this one, its active attempt is ended before
+    /// it crashes the target.
+    void abort_if_quarantined(const digest& request);
 
 private:
-    bool read_request();
+    bool parse_request();
     bool admit_request();
-    bool is_not_quarantined();
-    bool may_be_somewhere();
+    bool check_quarantine();
+    bool check_allowed_regions();
     tokens tokens_per_event() const;
-    bool can_end_before_stop();
-    bool reaches_others();
-    bool has_time();
+    bool check_shutdown();
+    bool check_isolation();
+    bool check_overload();
     void set_deadline();
-    void take_tokens();
-    void tokens_answered(reserve_outcome outcome);
-    void pay(reserve_outcome outcome);
+    void reserve_tokens();
+    void on_reservation_outcome(reserve_outcome outcome);
+    void apply_reservation_outcome(reserve_outcome outcome);
 
     void dispatch();
     void wait_for_versions();
     void choose_target(const version_constraint& versions);
-    void target_chosen(const target_choice& choice, const placed_run& run);
-    void wait_for_turn(const target_choice& choice, const placed_run& run, const send_permit& turn);
-    void turn_came();
-    void drop_turn();
-    void give_back(const placed_run& run);
-    void send_to(const target_choice& choice, const placed_run& run, const send_permit& turn);
-    permit_request wish_for_turn() const;
-    std::vector<std::string> left_out();
-    microseconds bearable_turn_wait() const;
-    microseconds longest_turn_wait() const;
-    bool may_wait_for_turn();
-    microseconds until_another_target();
-    void no_target_left(bool all_cold);
-    void count_by_region(std::string_view what) const;
-    void note_first_answer() const;
+    void on_target_chosen(const target_choice& choice, const placed_run& attempt);
+    void wait_for_permit(const target_choice& choice, const placed_run& attempt,
+                         const send_permit& permit);
+    void on_permit_due();
+    void cancel_pending_send();
+    void cancel_placement(const placed_run& attempt);
+    void send_to(const target_choice& choice, const placed_run& attempt, const send_permit& permit);
+    permit_request make_permit_request() const;
+    std::vector<std::string> excluded_targets();
+    microseconds base_permit_wait() const;
+    microseconds max_permit_wait() const;
+    bool enable_permit_wait();
+    microseconds next_target_retry_after();
+    void on_no_target(bool all_cold);
+    void count_by_region(std::string_view counter) const;
+    void record_first_response() const;
     void refuse_without_target(bool all_cold);
     upstream_hooks hooks_for(unsigned attempt);
 
-    void watch_silence();
-    void target_silent();
-    void note_life();
+    void start_silence_timer();
+    void on_target_unresponsive();
+    void record_engine_contact();
     void on_head(const message_head& head);
     void on_piece(std::string_view piece);
     void on_end();
     void on_failed(upstream_failure failure);
-    void end_attempt(run_end how, rollout_gate::outcome answer);
-    rollout_gate::outcome answer_at_deadline() const;
-    void attempt_unsent();
+    void end_attempt(run_end end, rollout_gate::outcome rollout_outcome);
+    rollout_gate::outcome outcome_at_deadline() const;
+    void on_attempt_unsent();
 
-    void pass_stream(std::string_view piece);
-    void note_events(std::size_t count);
+    void forward_stream(std::string_view piece);
+    void record_events(std::size_t count);
     void end_stream();
-    void answer_refused();
-    void answer_complete();
+    void handle_refusal();
+    void handle_response();
     void refuse_suspect();
-    bool take_retry();
-    bool try_again();
-    void attempt_broken();
+    bool try_acquire_retry();
+    bool retry();
+    void on_attempt_interrupted();
 
-    void deadline_passed();
-    void caller_gone();
-    void call_off_ended();
+    void on_deadline();
+    void on_caller_disconnected();
+    void finish_cancellation();
     microseconds time_left() const;
 
     void refuse(unsigned status, std::string_view reason, microseconds retry_after);
     void fail(unsigned status, std::string_view reason);
-    void assume_unseen();
-    void cut(std::string_view reason);
-    void pass_answer();
-    void note_end(std::string_view outcome, unsigned status);
+    void charge_unobserved_output();
+    void abort_response(std::string_view reason);
+    void forward_response();
+    void record_end(std::string_view outcome, unsigned status);
     void finish(std::string_view outcome, unsigned status);
 
     gateway_context& context_;
     ingress_exchange_pointer exchange_;
-    caller_answer to_caller_;
+    caller_response caller_response_;
     incoming_request request_;
     request_trace trace_;
-    instant tokens_asked_{};
+    instant reservation_start_{};
     admitted_request admitted_;
     instant deadline_{};
     request_charge charge_;
-    std::shared_ptr<token_waiters::handle> waiting_;
+    std::shared_ptr<token_waiters::handle> token_wait_;
 
-    /// The target of the attempt under way, or empty.
+    /// The target of the current attempt, or empty.
     std::string target_;
-    target_incarnation life_;
+    target_incarnation incarnation_;
     attempt_history history_;
     request_rollout rollout_;
     request_suspicion suspicion_;
-    std::unique_ptr<upstream_call> call_;
-    /// Set if the request's prompt goes to a model engine.
+    std::unique_ptr<upstream_call> upstream_call_;
+    /// Set if the request is sent to a model engine.
     std::optional<engine_request> engine_request_;
-    /// Kept while an engine is looked for.
-    std::shared_ptr<placement_exchange::handle> placing_;
-    /// Counts the looks for an engine.
-    unsigned choices_ = 0;
-    /// How long it waits for a turn at a target that names a limit: not at all while others are
-    /// free.
-    microseconds patience_{};
-    /// Set while the request waits for its turn at a target that is cold or names a limit.
-    std::optional<turn_at_target> turn_;
-    /// The run at an engine that is under way.
-    placed_run run_;
+    /// Set while an engine is being chosen.
+    std::shared_ptr<placement_exchange::handle> placement_;
+    /// The number of times that an engine was asked for.
+    unsigned placement_count_ = 0;
+    /// The longest acceptable wait for a send permit at a target with an advertised limit. Zero as
+    /// long as other targets need no wait.
+    microseconds allowed_permit_wait_{};
+    /// Set while the request waits for a send permit at a target that is warming up or advertises a
+    /// limit.
+    std::optional<pending_send> pending_send_;
+    /// The current attempt at an engine.
+    placed_run engine_attempt_;
     instant sent_at_{};
-    stream_watch stream_;
+    stream_timing stream_timing_;
 
-    message_head answer_;
-    std::string answer_body_;
-    bool answer_refused_ = false;
-    /// True once the answer is passed on as it comes.
+    message_head response_head_;
+    std::string response_body_;
+    bool target_refused_ = false;
+    /// True once the response is forwarded as a stream.
     bool streaming_ = false;
-    event_splitter events_;
-    /// True once the caller has gone and only what was handed out is still learnt.
-    bool called_off_ = false;
+    event_splitter splitter_;
+    /// True once the caller has disconnected. The response is then read only to charge the tokens
+    /// that were produced.
+    bool cancelled_ = false;
     bool ended_ = false;
 };
 
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -14,7 +14,7 @@
 namespace wrenswitch {
 namespace {
 
-/// How often tokens are drawn ahead of need and old state is dropped.
+/// How often tokens are drawn ahead of need and expired state is removed.
 constexpr microseconds tick_period = milliseconds(250);
 
 /// Every target renews its entry in the list about once a second, so the list is read in pages.
@@ -24,17 +24,17 @@
 /// within two seconds of the store's return.
 constexpr microseconds lost_target_timeout = seconds(3);
 
-/// How often a stopping gateway looks whether it is done.
-constexpr microseconds stop_look_period = milliseconds(50);
+/// How often a stopping gateway checks whether it can exit.
+constexpr microseconds shutdown_poll_period = milliseconds(50);
 
-/// How many entries are expected to share a target's connections.
-constexpr std::size_t sharers = 6;
+/// How many gateways are expected to share the connections of a target.
+constexpr std::size_t connection_sharers = 6;
 
-/// Members that have not joined yet are reckoned with up to this many.
-constexpr std::size_t least_entries = 4;
+/// The number of gateways is assumed to be at least this, since some may not have joined yet.
+constexpr std::size_t min_gateway_count = 4;
 
-/// Unreadable limits of one configuration that are told one by one; all are counted.
-constexpr std::size_t most_told = 5;
+/// How many unreadable limits of one configuration are logged individually; all are counted.
+constexpr std::size_t max_logged_limits = 5;
 
 target_pool_settings pool_settings(const gateway_settings& settings,
                                    const token_allocator_selector& members) {
@@ -43,9 +43,10 @@
     pool.regions = settings.regions;
     pool.far_round_trip = settings.far_round_trip;
     pool.gateway_count = [&members] {
-        // Its own record is there once the directory was read: without any, nothing is known.
+        // The directory contains this gateway's own record once it has been read. As long as it is
+        // empty, the number is unknown.
         const std::size_t known = members.members();
-        return known == 0 ? 0 : std::max(least_entries, known);
+        return known == 0 ? 0 : std::max(min_gateway_count, known);
     };
     pool.peers.gateway_count = [&members] { return members.members(); };
     pool.peers.is_among_first = [&members](std::string_view target, std::size_t count) {
@@ -58,14 +59,14 @@
     return pool;
 }
 
-token_allocator_settings home_settings(const gateway_settings& settings) {
-    token_allocator_settings homes;
-    homes.own_region = settings.regions.region_of(settings.failure_domain);
-    homes.remote_round_trip = settings.far_round_trip;
-    return homes;
+token_allocator_settings make_allocator_settings(const gateway_settings& settings) {
+    token_allocator_settings allocators;
+    allocators.own_region = settings.regions.region_of(settings.failure_domain);
+    allocators.remote_round_trip = settings.far_round_trip;
+    return allocators;
 }
 
-/// Where engines are, if that makes a difference.
+/// Looks up the region of an engine. Empty if there are not several regions.
 engine_coordinators::region_lookup engine_regions(const gateway_settings& settings,
                                                   const target_pool& targets) {
     if (!settings.regions.has_multiple_regions()) {
@@ -80,7 +81,7 @@
     return link;
 }
 
-/// Tells when a log is lost or regained.
+/// Creates a hook that logs when a log becomes unreachable or reachable again.
 std::function<void(bool)> reachable_hook(const std::string& log) {
     return [log](bool reachable) {
         log_event(reachable ? log_level::information : log_level::warning,
@@ -102,25 +103,25 @@
       settings_(settings),
       dialect_(dialect),
       incarnation_(random_.next_id<incarnation_id>()),
-      events_(settings.log_requests_per_second, metrics_),
-      homes_(settings.host, home_settings(settings)),
-      far_regions_(std::string(settings.regions.region_of(settings.failure_domain))),
-      targets_(pool_settings(settings, homes_), random_),
-      list_(targets_, metrics_,
-            {dialect.read_target, [this](const std::string& id) { pools_.erase(id); },
-             [this](const std::string& id) { ends_.unlisted(id); },
-             [this](const std::string& id) { ends_.restarted(id); }}),
-      keepers_(homes_, engine_regions(settings, targets_)),
-      lag_(
-          loop, [this] { return context_->requests.size(); },
-          [this](instant now) { look_at_link(now); }),
+      rate_limited_log_(settings.log_requests_per_second, metrics_),
+      allocators_(settings.host, make_allocator_settings(settings)),
+      region_outages_(std::string(settings.regions.region_of(settings.failure_domain))),
+      targets_(pool_settings(settings, allocators_), random_),
+      target_list_(targets_, metrics_,
+                   {dialect.read_target, [this](const std::string& id) { pools_.erase(id); },
+                    [this](const std::string& id) { crashes_.unlisted(id); },
+                    [this](const std::string& id) { crashes_.restarted(id); }}),
+      coordinators_(allocators_, engine_regions(settings, targets_)),
+      lag_monitor_(
+          loop, [this] { return context_->active_requests.size(); },
+          [this](instant now) { update_link_state(now); }),
       link_(link_settings(settings)),
       rollouts_(dialect, settings.exposed_share, metrics_, rollout_hooks()),
       retries_(settings.retry_share, settings.retry_window, metrics_),
-      ends_(loop, targets_, metrics_,
-            {[this](const target_incarnation& life, std::span<const digest> requests) {
-                suspects_->ended(life, requests);
-            }}) {
+      crashes_(loop, targets_, metrics_,
+               {[this](const target_incarnation& incarnation, std::span<const digest> requests) {
+                   suspects_->ended(incarnation, requests);
+               }}) {
     metrics_.gauge("gateway_retry_share") = settings.retry_share;
     metrics_.gauge("gateway_retry_slack") = settings.retry_slack;
 }
@@ -134,7 +135,7 @@
         return opened;
     }
     open_logs();
-    open_exchange();
+    open_exchanges();
     open_suspects();
     if (result<void> opened = open_servers(); !opened) {
         return opened;
@@ -145,7 +146,7 @@
     ledger_->start();
     members_->start();
     ticker_ = loop_.call_every(tick_period, [this] { tick(); });
-    lag_.start();
+    lag_monitor_.start();
     log_event(log_level::information, "gateway_started",
               {{"host", settings_.host},
                {"incarnation", std::to_string(raw(incarnation_))},
@@ -176,16 +177,16 @@
 }
 
 void gateway::open_logs() {
-    direct_ = make_direct_channel(loop_, settings_.service, arrivals_);
+    direct_channel_ = make_direct_channel(loop_, settings_.service, arrivals_);
     channel_ = std::make_unique<relayed_channel>(
-        loop_, *direct_, *bus_, [this] { return relay_endpoints(); }, dialect_.probe, arrivals_,
-        metrics_, relayed_channel_settings{});
+        loop_, *direct_channel_, *bus_, [this] { return relay_endpoints(); }, dialect_.probe,
+        arrivals_, metrics_, relayed_channel_settings{});
     log_ = dialect_.make_log(*channel_, keyed_log_timeouts{});
     configuration_follower_ = std::make_unique<keyed_follower>(
         loop_, *log_,
         keyed_follower_settings{.log = dialect_.configuration_log, .only_newest = true},
         keyed_follower_hooks{[this](const keyed_record& record) { configuration_changed(record); },
-                             [this] { orders_read(); },
+                             [this] { on_orders_read(); },
                              reachable_hook(dialect_.configuration_log)});
     target_follower_ = std::make_unique<keyed_follower>(
         loop_, *log_,
@@ -193,28 +194,29 @@
                                 .pause = target_read_pause,
                                 .lost_key_timeout = lost_target_timeout},
         keyed_follower_hooks{
-            [this](const keyed_record& record) { list_.changed(monotonic_now(), record); }, [] {},
-            reachable_hook(dialect_.target_log)});
+            [this](const keyed_record& record) { target_list_.apply(monotonic_now(), record); },
+            [] {}, reachable_hook(dialect_.target_log)});
     ledger_ = std::make_unique<grant_ledger>(
         loop_, *log_, dialect_.grant_log, metrics_,
-        grant_ledger_hooks{[this] { return compose_grants(); }, [this] { grants_changed(); },
-                           [this] { grants_->on_append_resolved(); },
-                           [this, told = reachable_hook(dialect_.grant_log)](bool reachable) {
-                               grant_log_answers_ = reachable;
-                               told(reachable);
-                           },
-                           settings_.host});
+        grant_ledger_hooks{
+            [this] { return compose_grants(); }, [this] { grants_changed(); },
+            [this] { grants_->on_append_resolved(); },
+            [this, log_reachability = reachable_hook(dialect_.grant_log)](bool reachable) {
+                grant_log_reachable_ = reachable;
+                log_reachability(reachable);
+            },
+            settings_.host});
     grants_ = std::make_unique<grant_holder>(settings_.host, incarnation_, settings_.grants,
                                              ledger_->table());
     waiters_ = std::make_unique<token_waiters>(*grants_);
 }
 
-void gateway::open_exchange() {
-    const std::string& reached_at =
+void gateway::open_exchanges() {
+    const std::string& endpoint =
         settings_.member_endpoint.empty() ? bus_->endpoint() : settings_.member_endpoint;
     const cluster_member own{settings_.host,
                              incarnation_,
-                             reached_at,
+                             endpoint,
                              settings_.capacity,
                              settings_.failure_domain,
                              std::string(settings_.regions.region_of(settings_.failure_domain)),
@@ -223,56 +225,59 @@
         loop_, *log_, dialect_.member_log, own,
         member_directory_hooks{
             [this](const cluster_member& member) {
-                homes_.apply(member);
+                allocators_.apply(member);
                 log_event(log_level::information, "member_joined",
                           {{"host", member.host},
                            {"incarnation", std::to_string(raw(member.process))},
                            {"endpoint", member.endpoint}});
             },
             [this](const std::string& host) {
-                homes_.remove(host);
+                allocators_.remove(host);
                 log_event(log_level::information, "member_left", {{"host", host}});
             },
             reachable_hook(dialect_.member_log)},
         settings_.regions.has_multiple_regions());
     tokens_ = std::make_unique<token_exchange>(
-        loop_, *bus_, homes_, *grants_, *waiters_, metrics_, exchange_settings(settings_),
+        loop_, *bus_, allocators_, *grants_, *waiters_, metrics_, exchange_settings(settings_),
         token_exchange::hooks{
             [this] { ledger_->append_if_due(); }, [this] { return ledger_->live() && !stopping_; },
-            [this] { return grant_log_answers_; }, [this] { return link_.is_full(); },
-            [this](const std::string& host) { peer_silent(host); }});
-    desk_ = std::make_unique<placement_desk>(targets_, keepers_, metrics_);
+            [this] { return grant_log_reachable_; }, [this] { return link_.is_full(); },
+            [this](const std::string& host) { on_peer_unresponsive(host); }});
+    desk_ = std::make_unique<placement_desk>(targets_, coordinators_, metrics_);
     placements_ = std::make_unique<placement_exchange>(
-        loop_, *bus_, targets_, keepers_, *desk_, metrics_,
+        loop_, *bus_, targets_, coordinators_, *desk_, metrics_,
         placement_exchange::hooks{
-            [this](const std::string& service) { return engine_of(service); },
+            [this](const std::string& service) { return engine_profile_of(service); },
             [this](const std::string& host, bool others_answered) {
-                keeper_silent(host, others_answered);
+                on_coordinator_unresponsive(host, others_answered);
+            },
+            [this](const std::string& host) { on_coordinator_responded(host); },
+            [this](const cluster_member& coordinator) {
+                return allocators_.round_trip(coordinator);
             },
-            [this](const std::string& host) { keeper_answered(host); },
-            [this](const cluster_member& keeper) { return homes_.round_trip(keeper); },
-            [this](const cluster_member& keeper, microseconds took) {
-                homes_.record_round_trip(keeper, took);
+            [this](const cluster_member& coordinator, microseconds duration) {
+                allocators_.record_round_trip(coordinator, duration);
             }});
-    signals_ = std::make_unique<signal_exchange>(loop_, *bus_, homes_, targets_, events_, metrics_);
-    rollouts_.open(loop_, *log_, *bus_, homes_, incarnation_);
+    signals_ = std::make_unique<signal_exchange>(loop_, *bus_, allocators_, targets_,
+                                                 rate_limited_log_, metrics_);
+    rollouts_.open(loop_, *log_, *bus_, allocators_, incarnation_);
     grants_->set_draw_ahead_filter([this](const std::string& account) {
-        return homes_.is_allocator(monotonic_now(), account);
+        return allocators_.is_allocator(monotonic_now(), account);
     });
 }
 
 void gateway::open_suspects() {
     suspects_ = std::make_unique<suspect_exchange>(
-        loop_, *log_, dialect_.suspect_log, *bus_, homes_, metrics_,
-        suspect_exchange::hooks{[this](const digest& request) { stop_quarantined(request); },
+        loop_, *log_, dialect_.suspect_log, *bus_, allocators_, metrics_,
+        suspect_exchange::hooks{[this](const digest& request) { abort_quarantined(request); },
                                 reachable_hook(dialect_.suspect_log)});
 }
 
-void gateway::stop_quarantined(const digest& request) {
-    const std::vector<std::shared_ptr<forwarded_request>> under_way(context_->requests.begin(),
-                                                                    context_->requests.end());
-    for (const std::shared_ptr<forwarded_request>& each : under_way) {
-        each->stop_if_quarantined(request);
+void gateway::abort_quarantined(const digest& request) {
+    const std::vector<std::shared_ptr<forwarded_request>> requests(
+        context_->active_requests.begin(), context_->active_requests.end());
+    for (const std::shared_ptr<forwarded_request>& each : requests) {
+        each->abort_if_quarantined(request);
     }
 }
 
@@ -283,8 +288,8 @@
         dialect_,
         configuration_,
         targets_,
-        plain_answers_,
-        lag_.overload(),
+        plain_response_times_,
+        lag_monitor_.overload(),
         link_,
         *grants_,
         *tokens_,
@@ -292,25 +297,25 @@
         rollouts_.entry(),
         retries_,
         *suspects_,
-        ends_,
+        crashes_,
         *signals_,
-        urgencies_,
+        priorities_,
         random_,
         metrics_,
-        events_,
+        rate_limited_log_,
         metrics_.histogram("gateway_pause_ms"),
         [this] { return ledger_->live(); },
-        [this] { return grant_log_answers_; },
+        [this] { return grant_log_reachable_; },
         [this] { return describe_ledger(); },
-        [this] { reach_.record_contact(monotonic_now()); },
-        [this](const std::string& target) { peer_silent(target); },
-        [this] { return isolated(); },
+        [this] { isolation_.record_contact(monotonic_now()); },
+        [this](const std::string& target) { on_peer_unresponsive(target); },
+        [this] { return is_isolated(); },
         [this](const gateway_target& target) -> upstream_pool& { return pool_of(target); },
         {},
         {},
         std::nullopt});
     auto ingress = ingress_server::start(
-        loop_, settings_.listen.host, settings_.listen.port, [this] { return limits_now(); },
+        loop_, settings_.listen.host, settings_.listen.port, [this] { return current_limits(); },
         [this](const ingress_exchange_pointer& exchange) {
             std::make_shared<forwarded_request>(*context_, exchange)->start();
         });
@@ -331,8 +336,8 @@
     return outcome::success();
 }
 
-/// Figures at a port of their own, for readers that can't be told another one. A gateway that can't
-/// have the port works without it.
+/// Serves the metrics on a separate port as well, for scrapers that can't be configured to use the
+/// admin port. The gateway works without it if the port is taken.
 void gateway::open_metrics() {
     if (settings_.metrics_port == 0) {
         return;
@@ -349,17 +354,17 @@
     metrics_server_ = std::move(server.value());
 }
 
-ingress_limits gateway::limits_now() const {
+ingress_limits gateway::current_limits() const {
     const gateway_limits& limits = configuration_.current().limits;
     return {limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout,
             limits.idle_timeout};
 }
 
-/// Callers whose bytes don't fit go on elsewhere: over new connections, which the platform leads to
-/// other entries once this one isn't ready. What other entries and relays send isn't counted, since
-/// sending callers away doesn't make it less: when all entries read a log anew through relays, 25
-/// of 31 sent their callers away at once.
-void gateway::look_at_link(instant now) {
+/// Sheds callers while the link is saturated: they open new connections, which the platform's load
+/// balancer directs to other gateways once this one isn't ready. Traffic of other gateways and
+/// relays isn't counted, since shedding callers doesn't reduce it: when all gateways read a log
+/// again through relays, 25 of 31 shed their callers at once.
+void gateway::update_link_state(instant now) {
     const traffic_counts& traffic = loop_.traffic();
     const bool shed_before = link_.is_shedding();
     const bool full_before = link_.is_full();
@@ -379,20 +384,21 @@
                {"send_queue_ms", millis_text(link_.send_queue_delay())}});
 }
 
-bool gateway::ready() {
+bool gateway::is_ready() {
     return !stopping_ && !link_.is_shedding() && configuration_.is_loaded() && ledger_->live() &&
-           target_follower_->live() && suspects_->ready() && !isolated();
+           target_follower_->live() && suspects_->ready() && !is_isolated();
 }
 
 void gateway::serve_admin(const http_exchange_pointer& exchange) {
     if (exchange->path() == dialect_.ready_path) {
-        exchange->reply(ready() ? status_ok : status_unavailable, {}, ready() ? "ready\n" : "\n");
+        exchange->reply(is_ready() ? status_ok : status_unavailable, {},
+                        is_ready() ? "ready\n" : "\n");
         return;
     }
     if (exchange->path() == "/metrics") {
         metrics_.gauge("gateway_requests_under_way") =
-            static_cast<double>(context_->requests.size());
-        metrics_.gauge("gateway_refused_share") = lag_.overload().refused_share();
+            static_cast<double>(context_->active_requests.size());
+        metrics_.gauge("gateway_refused_share") = lag_monitor_.overload().refused_share();
         metrics_.gauge("gateway_connections") = static_cast<double>(ingress_->connections());
         metrics_.gauge("gateway_link_received_share") = link_.received_share();
         metrics_.gauge("gateway_link_send_queue_seconds") = as_seconds(link_.send_queue_delay());
@@ -403,9 +409,10 @@
     exchange->reply(status_not_found, {}, "");
 }
 
-/// A failure domain is to get nothing, or the operator took that back. A record that can't be read
-/// changes nothing: what was in force before stays so.
-void gateway::emptied_changed(const std::string& failure_domain, const keyed_record& record) {
+/// Handles an order to evacuate a failure domain, or its withdrawal. A record that can't be read
+/// leaves the previous state in force.
+void gateway::apply_evacuation_record(const std::string& failure_domain,
+                                      const keyed_record& record) {
     if (record.value) {
         if (const result<void> read = dialect_.read_emptied(*record.value); !read) {
             metrics_.counter("gateway_emptied_records_unreadable_total") += 1;
@@ -421,18 +428,18 @@
         return;
     }
     const std::vector<gateway_target> listed = targets_.listed();
-    const auto there = std::count_if(listed.begin(), listed.end(), [&](const gateway_target& each) {
+    const auto count = std::count_if(listed.begin(), listed.end(), [&](const gateway_target& each) {
         return each.failure_domain == failure_domain;
     });
     log_event(log_level::information, emptied ? "failure_domain_emptied" : "failure_domain_back",
               {{"failure_domain", failure_domain},
                {"offset", std::to_string(record.offset)},
-               {"targets", std::to_string(there)}});
+               {"targets", std::to_string(count)}});
 }
 
 void gateway::configuration_changed(const keyed_record& record) {
     if (const auto emptied = dialect_.emptied_domain(record.key)) {
-        emptied_changed(*emptied, record);
+        apply_evacuation_record(*emptied, record);
         return;
     }
     if (rollouts_.configuration_changed(monotonic_now(), record) ||
@@ -454,7 +461,7 @@
     const std::vector<std::string> unreadable = unreadable_region_limits(current);
     metrics_.counter("gateway_limits_unreadable_total") += unreadable.size();
     for (const std::string& place :
-         std::span(unreadable).first(std::min(most_told, unreadable.size()))) {
+         std::span(unreadable).first(std::min(max_logged_limits, unreadable.size()))) {
         log_event(log_level::error, "limit_unreadable",
                   {{"version", std::to_string(current.version)}, {"place", place}});
     }
@@ -467,22 +474,22 @@
 
 gateway_rollouts::hooks gateway::rollout_hooks() {
     const auto in_force = [this](const rollout_order& order, const version_set& excluded) {
-        // A process that starts may not know all targets yet.
+        // A starting process may not know all targets yet.
         return configuration_follower_->live() && target_follower_->live() &&
                targets_.has_only_version(order.service, order.version, excluded);
     };
     const auto ordered = [this](const std::string& service) {
-        for (const std::shared_ptr<forwarded_request>& request : context_->requests) {
-            request->join_rollout(service);
+        for (const std::shared_ptr<forwarded_request>& request : context_->active_requests) {
+            request->on_rollout_order(service);
         }
     };
-    return {in_force, ordered, [this](const rollout_order& order) { return numbers_of(order); },
+    return {in_force, ordered, [this](const rollout_order& order) { return count_targets(order); },
             reachable_hook(dialect_.rollout_log)};
 }
 
-/// Unknown while the list isn't read. Targets that leave count as old ones: what runs there has to
-/// end, and only as new ones if they stay.
-rollout_target_numbers gateway::numbers_of(const rollout_order& order) {
+/// Counts the targets of the old and of the new version. Unknown until the list of targets has been
+/// read. Draining targets count as old ones, since their requests have to end, but not as new ones.
+rollout_target_numbers gateway::count_targets(const rollout_order& order) {
     rollout_target_numbers numbers;
     if (!target_follower_->live()) {
         return numbers;
@@ -500,9 +507,10 @@
     return numbers;
 }
 
-/// A target of a new version waits for a read that began after it was met. The one that is held
-/// open ends within 700 ms; another that isn't held follows it.
-void gateway::orders_read() {
+/// A target of a new version is held back until a read of the rollout orders that began after the
+/// target was listed. A long poll that is open ends within 700 ms; another read without a poll
+/// follows it.
+void gateway::on_orders_read() {
     targets_.orders_read(configuration_follower_->last_read_began());
     if (targets_.waits_for_orders()) {
         configuration_follower_->look_now();
@@ -522,74 +530,77 @@
     waiters_->serve(monotonic_now());
 }
 
-/// The keeper may be a home too; what is silent as one won't answer as the other. An entry that is
-/// late took 37 to 86 keepers in ten seconds for lost whose answers it hadn't read.
-void gateway::keeper_silent(const std::string& host, bool others_answered) {
-    if (others_answered && !link_.is_full() && homes_.record_failure(monotonic_now(), host)) {
+/// A coordinator may also be an allocator, and one that is unresponsive in one role is so in the
+/// other. A gateway that lags took 37 to 86 coordinators for lost within ten seconds because it had
+/// not read their replies.
+void gateway::on_coordinator_unresponsive(const std::string& host, bool others_answered) {
+    if (others_answered && !link_.is_full() && allocators_.record_failure(monotonic_now(), host)) {
         log_event(log_level::warning, "engine_keeper_lost", {{"keeper", host}});
     }
-    peer_silent(host);
+    on_peer_unresponsive(host);
 }
 
-void gateway::keeper_answered(const std::string& host) {
-    if (homes_.record_answer(host)) {
+void gateway::on_coordinator_responded(const std::string& host) {
+    if (allocators_.record_answer(host)) {
         log_event(log_level::information, "engine_keeper_regained", {{"keeper", host}});
     }
 }
 
-void gateway::peer_silent(const std::string& peer) {
-    reach_.record_unresponsive(peer);
-    look_whether_isolated();
+void gateway::on_peer_unresponsive(const std::string& peer) {
+    isolation_.record_unresponsive(peer);
+    update_isolation();
 }
 
-bool gateway::isolated() {
+bool gateway::is_isolated() {
     // A reply that saturates the link delays all others, so a partial reply also shows that the
     // service can be reached.
-    reach_.record_contact(std::max({ledger_->last_answer(), target_follower_->last_answer(),
-                                    configuration_follower_->last_answer(),
-                                    arrivals_.last_piece().value_or(instant{})}));
-    return reach_.is_isolated(monotonic_now());
-}
-
-/// An entry that reaches nobody ends what waits there for others, so that its callers can go on
-/// elsewhere, and leaves the platform's balancer by its readiness.
-void gateway::look_whether_isolated() {
-    const std::size_t silent = reach_.unresponsive_peers();
-    const bool isolated_now = isolated();
+    isolation_.record_contact(std::max({ledger_->last_answer(), target_follower_->last_answer(),
+                                        configuration_follower_->last_answer(),
+                                        arrivals_.last_piece().value_or(instant{})}));
+    return isolation_.is_isolated(monotonic_now());
+}
+
+/// Handles a change of isolation. An isolated gateway refuses the requests that wait for other
+/// processes, so that the callers can use another gateway, and its readiness removes it from the
+/// platform's load balancer.
+void gateway::update_isolation() {
+    const std::size_t unresponsive = isolation_.unresponsive_peers();
+    const bool isolated_now = is_isolated();
     if (isolated_now) {
         tokens_->refuse_waiting();
     }
     if (isolated_now == std::exchange(was_isolated_, isolated_now)) {
         return;
     }
-    const microseconds silence = monotonic_now() - reach_.last_contact();
-    log_event(log_level::warning, isolated_now ? "isolated" : "reaches_others",
-              {{"silent_peers", std::to_string(silent)}, {"last_heard_ms", millis_text(silence)}});
+    const microseconds silence = monotonic_now() - isolation_.last_contact();
+    log_event(
+        log_level::warning, isolated_now ? "isolated" : "reaches_others",
+        {{"silent_peers", std::to_string(unresponsive)}, {"last_heard_ms", millis_text(silence)}});
 }
 
-void gateway::look_at_regions() {
-    for (const region_status_change& news :
-         far_regions_.update(monotonic_now(), homes_.call_counts())) {
-        if (news.unreachable) {
+void gateway::update_region_outages() {
+    for (const region_status_change& change :
+         region_outages_.update(monotonic_now(), allocators_.call_counts())) {
+        if (change.unreachable) {
             metrics_.counter("gateway_regions_cut_off_total") += 1;
         }
-        log_event(log_level::warning, news.unreachable ? "region_cut_off" : "region_back",
-                  {{"region", news.region},
-                   {"silent", std::to_string(news.unresponsive)},
-                   {"members", std::to_string(news.members)},
-                   {"since_ms", millis_text(news.duration)}});
+        log_event(log_level::warning, change.unreachable ? "region_cut_off" : "region_back",
+                  {{"region", change.region},
+                   {"silent", std::to_string(change.unresponsive)},
+                   {"members", std::to_string(change.members)},
+                   {"since_ms", millis_text(change.duration)}});
     }
     metrics_.gauge("gateway_regions_cut_off") =
-        static_cast<double>(far_regions_.unreachable_count());
+        static_cast<double>(region_outages_.unreachable_count());
 }
 
-const engine_profile* gateway::engine_of(const std::string& service) const {
+const engine_profile* gateway::engine_profile_of(const std::string& service) const {
     const gateway_service* known = configuration_.find_service(service);
     return known == nullptr || !known->engine ? nullptr : &*known->engine;
 }
 
 std::vector<std::string> gateway::relay_endpoints() const {
-    return relays_to_ask(settings_, configuration_, targets_.listed());
+    return select_relays(settings_, configuration_, targets_.listed());
 }
 
 upstream_pool& gateway::pool_of(const gateway_target& target) {
@@ -600,7 +611,7 @@
         upstream_pool_settings settings;
         if (service != nullptr) {
             settings.most_connections =
-                std::max<std::size_t>(4, service->max_connections / sharers);
+                std::max<std::size_t>(4, service->max_connections / connection_sharers);
         }
         pool = std::make_unique<upstream_pool>(loop_, address ? address.value() : http_address{},
                                                settings);
@@ -612,16 +623,17 @@
     std::vector<grant_record> records = grants_->compose_records(monotonic_now());
     for (const grant_record& record : records) {
         const grant before = ledger_->table().find(record.key);
-        events_.routine("grant_asked",
-                        {{"account", record.key.account},
-                         {"at", std::to_string(ledger_->position())},
-                         {"change", std::to_string(record.value.granted - before.granted)},
-                         {"granted_here", std::to_string(record.value.granted)},
-                         {"spent_here", std::to_string(record.value.spent)},
-                         {"granted", std::to_string(ledger_->table().granted(record.key.account))},
-                         {"limit", std::to_string(grants_->limit(record.key.account))},
-                         {"reserved", std::to_string(grants_->reserved(record.key.account))},
-                         {"wanted", std::to_string(record.value.wanted)}});
+        rate_limited_log_.log_routine(
+            "grant_asked",
+            {{"account", record.key.account},
+             {"at", std::to_string(ledger_->position())},
+             {"change", std::to_string(record.value.granted - before.granted)},
+             {"granted_here", std::to_string(record.value.granted)},
+             {"spent_here", std::to_string(record.value.spent)},
+             {"granted", std::to_string(ledger_->table().granted(record.key.account))},
+             {"limit", std::to_string(grants_->limit(record.key.account))},
+             {"reserved", std::to_string(grants_->reserved(record.key.account))},
+             {"wanted", std::to_string(record.value.wanted)}});
     }
     return records;
 }
@@ -645,15 +657,15 @@
     metrics_.counter("log_lines_unread_total") = dropped_log_lines();
     metrics_.gauge("store_generation") = static_cast<double>(log_->generation());
     grants_->set_append_latency(ledger_->append_time());
-    look_whether_isolated();
-    look_at_regions();
+    update_isolation();
+    update_region_outages();
     tokens_->open_ways();
     tokens_->return_free(now);
     ledger_->append_if_due();
     waiters_->serve(now);
     desk_->drop_lapsed(now);
     retries_.tick(now);
-    ends_.tick(now);
+    crashes_.tick(now);
     signals_->tick(now);
     suspects_->tick(now);
     targets_.refresh_gateway_count(now);
@@ -670,38 +682,41 @@
     stopping_ = true;
     stop_began_ = monotonic_now();
     context_->stopping_since = stop_began_;
-    log_event(log_level::information, "gateway_stopping",
-              {{"host", settings_.host}, {"requests", std::to_string(context_->requests.size())}});
+    log_event(
+        log_level::information, "gateway_stopping",
+        {{"host", settings_.host}, {"requests", std::to_string(context_->active_requests.size())}});
     ingress_->begin_drain();
     members_->leave();
-    look_whether_stopped();
+    check_shutdown();
 }
 
-void gateway::look_whether_stopped() {
+void gateway::check_shutdown() {
     const instant now = monotonic_now();
     const microseconds since = now - stop_began_;
-    const std::size_t requests = context_->requests.size();
-    const bool served = settings_.drain.can_exit(since, requests, now - context_->last_request);
-    if (served || !settings_.drain.accepts_connections(since)) {
+    const std::size_t requests = context_->active_requests.size();
+    const bool can_exit =
+        settings_.drain.can_exit(since, requests, now - context_->last_request_at);
+    if (can_exit || !settings_.drain.accepts_connections(since)) {
         ingress_->stop_listening();
     }
-    if (served) {
+    if (can_exit) {
         grants_->set_draining(true);
         ledger_->append_if_due();
     }
     const bool overdue = since + settings_.drain.completion_margin > settings_.drain.max_duration;
-    if (overdue || (served && requests == 0 && grants_->all_returned())) {
+    if (overdue || (can_exit && requests == 0 && grants_->all_returned())) {
         loop_.stop();
         return;
     }
-    loop_.call_after(stop_look_period, [this, alive = alive_] {
+    loop_.call_after(shutdown_poll_period, [this, alive = alive_] {
         if (*alive) {
-            look_whether_stopped();
+            check_shutdown();
         }
     });
 }
 
-/// Takes up what may change while a process runs; addresses, names and regions need a new start.
+/// Applies the settings that may change while the process runs. Addresses, names and regions need a
+/// restart.
 void gateway::reload(const std::string& text) {
     findings problems;
     std::optional<gateway_settings> read = read_gateway_settings(text, problems);
@@ -709,10 +724,10 @@
         log_event(log_level::error, "settings_refused", {{"findings", problems.to_text()}});
         return;
     }
-    const bool moved = read->listen.to_text() != settings_.listen.to_text() ||
-                       read->admin.to_text() != settings_.admin.to_text() ||
-                       read->service.to_text() != settings_.service.to_text() ||
-                       read->host != settings_.host || read->regions != settings_.regions;
+    const bool needs_restart = read->listen.to_text() != settings_.listen.to_text() ||
+                               read->admin.to_text() != settings_.admin.to_text() ||
+                               read->service.to_text() != settings_.service.to_text() ||
+                               read->host != settings_.host || read->regions != settings_.regions;
     settings_.token_wait = read->token_wait;
     settings_.short_token_wait = read->short_token_wait;
     tokens_->set_settings(exchange_settings(settings_));
@@ -720,7 +735,7 @@
     settings_.grants = read->grants;
     grants_->set_policy(read->grants);
     log_event(log_level::information, "settings_reloaded",
-              {{"needs_restart", moved ? "yes" : "no"}});
+              {{"needs_restart", needs_restart ? "yes" : "no"}});
 }
 
 int run_gateway(const std::string& path, const std::string& text, const gateway_dialect& dialect) {
--- a/src/roles/gateway/gateway.hpp
+++ b/src/roles/gateway/gateway.hpp
@@ -25,8 +25,8 @@
 
 namespace wrenswitch {
 
-/// The gateway process: it follows the platform's logs, holds this host's grants, and passes
-/// callers' requests to targets.
+/// The gateway process: it follows the platform's logs, holds the token grants of this host, and
+/// forwards requests of callers to targets.
 class gateway {
 public:
     gateway(event_loop& loop, const gateway_settings& settings, const gateway_dialect& dialect);
@@ -34,41 +34,43 @@
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
 
-    /// Binds all addresses and begins to follow the logs. An error if an address cannot be bound.
+    /// Binds all addresses and starts to follow the logs. Returns an error if an address cannot be
+    /// bound.
     result<void> start();
 
-    /// The settings file has a new text.
+    /// Applies the new text of the settings file.
     void reload(const std::string& text);
 
-    /// Begins a planned stop: not ready, no connection kept, grants returned, then the loop ends.
+    /// Starts a planned shutdown: the gateway becomes not ready, drains its connections and returns
+    /// its grants, then the event loop ends.
     void begin_stop();
 
 private:
     result<void> open_bus();
     void open_logs();
-    void open_exchange();
+    void open_exchanges();
     result<void> open_servers();
     void open_metrics();
-    ingress_limits limits_now() const;
-    void look_at_link(instant now);
-    bool ready();
+    ingress_limits current_limits() const;
+    void update_link_state(instant now);
+    bool is_ready();
     void serve_admin(const http_exchange_pointer& exchange);
 
     void configuration_changed(const keyed_record& record);
-    void emptied_changed(const std::string& failure_domain, const keyed_record& record);
+    void apply_evacuation_record(const std::string& failure_domain, const keyed_record& record);
     gateway_rollouts::hooks rollout_hooks();
-    rollout_target_numbers numbers_of(const rollout_order& order);
-    void orders_read();
+    rollout_target_numbers count_targets(const rollout_order& order);
+    void on_orders_read();
     void apply_configuration();
     void open_suspects();
-    void stop_quarantined(const digest& request);
-    void keeper_silent(const std::string& host, bool others_answered);
-    void keeper_answered(const std::string& host);
-    void peer_silent(const std::string& peer);
-    bool isolated();
-    void look_whether_isolated();
-    void look_at_regions();
-    const engine_profile* engine_of(const std::string& service) const;
+    void abort_quarantined(const digest& request);
+    void on_coordinator_unresponsive(const std::string& host, bool others_answered);
+    void on_coordinator_responded(const std::string& host);
+    void on_peer_unresponsive(const std::string& peer);
+    bool is_isolated();
+    void update_isolation();
+    void update_region_outages();
+    const engine_profile* engine_profile_of(const std::string& service) const;
     std::vector<std::string> relay_endpoints() const;
     upstream_pool& pool_of(const gateway_target& target);
 
@@ -76,7 +78,7 @@
     std::string describe_ledger() const;
     void grants_changed();
     void tick();
-    void look_whether_stopped();
+    void check_shutdown();
 
     event_loop& loop_;
     gateway_settings settings_;
@@ -84,11 +86,11 @@
     metrics metrics_;
     random_source random_;
     incarnation_id incarnation_;
-    event_log events_;
+    rate_limited_log rate_limited_log_;
 
     std::unique_ptr<message_bus> bus_;
     arrival_watch arrivals_;
-    std::unique_ptr<service_channel> direct_;
+    std::unique_ptr<service_channel> direct_channel_;
     std::unique_ptr<relayed_channel> channel_;
     std::unique_ptr<keyed_log> log_;
     std::unique_ptr<keyed_follower> configuration_follower_;
@@ -97,28 +99,28 @@
     std::unique_ptr<grant_holder> grants_;
     std::unique_ptr<token_waiters> waiters_;
     std::unique_ptr<member_directory> members_;
-    token_allocator_selector homes_;
-    region_outage_detector far_regions_;
+    token_allocator_selector allocators_;
+    region_outage_detector region_outages_;
     std::unique_ptr<token_exchange> tokens_;
 
     active_configuration configuration_;
     target_pool targets_;
-    target_list list_;
-    response_time_tracker plain_answers_;
-    priority_tracker urgencies_;
-    engine_coordinators keepers_;
-    lag_watch lag_;
+    target_list target_list_;
+    response_time_tracker plain_response_times_;
+    priority_tracker priorities_;
+    engine_coordinators coordinators_;
+    loop_lag_monitor lag_monitor_;
     link_congestion_detector link_;
     std::unique_ptr<placement_desk> desk_;
     std::unique_ptr<placement_exchange> placements_;
     gateway_rollouts rollouts_;
-    service_retries retries_;
+    service_retry_budgets retries_;
     std::unique_ptr<suspect_exchange> suspects_;
-    target_ends ends_;
+    target_ends crashes_;
     std::unique_ptr<signal_exchange> signals_;
-    isolation_detector reach_;
+    isolation_detector isolation_;
     bool was_isolated_ = false;
-    bool grant_log_answers_ = true;
+    bool grant_log_reachable_ = true;
     std::map<std::string, std::unique_ptr<upstream_pool>> pools_;
     std::unique_ptr<gateway_context> context_;
 
--- a/src/roles/gateway/gateway_context.hpp
+++ b/src/roles/gateway/gateway_context.hpp
@@ -32,49 +32,51 @@
 
 class forwarded_request;
 
-/// What the requests of one gateway share.
+/// The state and services that all requests of one gateway share.
 struct gateway_context {
     event_loop& loop;
     const gateway_settings& settings;
     const gateway_dialect& dialect;
     active_configuration& configuration;
     target_pool& targets;
-    response_time_tracker& plain_answers;
+    response_time_tracker& plain_response_times;
     const overload_detector& overload;
     const link_congestion_detector& link;
     grant_holder& grants;
     token_exchange& tokens;
     placement_exchange& placements;
     entry_rollouts& rollouts;
-    service_retries& retries;
+    service_retry_budgets& retries;
     suspect_exchange& suspects;
-    target_ends& ends;
+    target_ends& crashes;
     signal_exchange& signals;
-    priority_tracker& urgencies;
+    priority_tracker& priorities;
     random_source& random;
     metrics& counters;
-    event_log& events;
-    /// The times between events of streams. Thousands come each second, so that it isn't looked up.
-    histogram_metric& pauses;
-    /// False until the ledger of grants was read once.
-    std::function<bool()> grants_known;
-    /// True while the log of grants answers.
-    std::function<bool()> log_answers;
-    /// How far the ledger of grants was read and how old that is, for logs.
+    rate_limited_log& log;
+    /// The histogram of the times between events of streams. It is kept here to save a lookup for
+    /// each of thousands of events a second.
+    histogram_metric& event_gaps;
+    /// False until the ledger of grants has been read once.
+    std::function<bool()> grants_loaded;
+    /// True while the log of grants is reachable.
+    std::function<bool()> grant_log_reachable;
+    /// Formats the position up to which the ledger of grants was read and the age of that read, for
+    /// logs.
     std::function<std::string()> describe_ledger;
-    /// Takes in that something came from an engine.
-    std::function<void()> heard;
-    /// Takes in that an engine can't be connected to and says nothing.
-    std::function<void(const std::string& target)> target_silent;
-    /// True if this process reaches nobody.
-    std::function<bool()> isolated;
-    /// The connections to a target.
+    /// Records that a response of an engine arrived.
+    std::function<void()> record_engine_contact;
+    /// Records that a connection attempt to an engine got no response.
+    std::function<void(const std::string& target)> record_unresponsive_target;
+    /// True if this process reaches no other process.
+    std::function<bool()> is_isolated;
+    /// The connection pool of a target.
     std::function<upstream_pool&(const gateway_target&)> pool_of;
-    /// Requests under way.
-    std::unordered_set<std::shared_ptr<forwarded_request>> requests;
-    /// When the last request came.
-    instant last_request{};
-    /// Set once a planned stop began.
+    /// The requests that have not ended.
+    std::unordered_set<std::shared_ptr<forwarded_request>> active_requests;
+    /// When the last request arrived.
+    instant last_request_at{};
+    /// When the planned shutdown began, if it has.
     std::optional<instant> stopping_since;
 };
 
--- a/src/roles/gateway/http_status.hpp
+++ b/src/roles/gateway/http_status.hpp
@@ -2,16 +2,16 @@
 
 namespace wrenswitch {
 
-/// Statuses of HTTP that a gateway gives or tells apart.
+/// HTTP statuses that a gateway sends or distinguishes.
 constexpr unsigned status_ok = 200;
 constexpr unsigned first_redirection = 300;
 constexpr unsigned status_bad_request = 400;
-constexpr unsigned status_no_key = 401;
-constexpr unsigned status_no_tokens = 402;
+constexpr unsigned status_unauthorized = 401;
+constexpr unsigned status_payment_required = 402;
 constexpr unsigned status_not_found = 404;
-constexpr unsigned status_timeout = 408;
+constexpr unsigned status_request_timeout = 408;
 constexpr unsigned status_misdirected = 421;
-constexpr unsigned status_too_many = 429;
+constexpr unsigned status_too_many_requests = 429;
 constexpr unsigned first_server_error = 500;
 constexpr unsigned status_bad_gateway = 502;
 constexpr unsigned status_unavailable = 503;
--- a/src/roles/gateway/incoming_request.cpp
+++ b/src/roles/gateway/incoming_request.cpp
@@ -11,16 +11,17 @@
                        [name](const std::string& other) { return same_header_name(name, other); });
 }
 
-std::optional<std::int64_t> whole_number(std::string_view text) {
+std::optional<std::int64_t> parse_integer(std::string_view text) {
     std::int64_t value = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool good = problem == std::errc{} && end == text.data() + text.size();
-    return good ? std::optional(value) : std::nullopt;
+    const bool is_valid = problem == std::errc{} && end == text.data() + text.size();
+    return is_valid ? std::optional(value) : std::nullopt;
 }
 
 }  // namespace
 
-result<incoming_request> read_incoming(const message_head& head, const gateway_dialect& dialect) {
+result<incoming_request> parse_incoming_request(const message_head& head,
+                                                const gateway_dialect& dialect) {
     for (const std::string& name : dialect.given_once) {
         if (head.count(name) > 1) {
             return failed(error_code::bad_input, "The header " + name + " is repeated.");
@@ -37,11 +38,12 @@
     request.last_event = head.header(dialect.last_event);
     const std::string_view deadline = head.header(dialect.deadline_ms);
     if (!deadline.empty()) {
-        const std::optional<std::int64_t> given = whole_number(deadline);
-        if (!given || *given < 0) {
-            return failed(error_code::bad_input, "Not a deadline: " + std::string(deadline) + ".");
+        const std::optional<std::int64_t> parsed = parse_integer(deadline);
+        if (!parsed || *parsed < 0) {
+            return failed(error_code::bad_input,
+                          "Invalid deadline: " + std::string(deadline) + ".");
         }
-        request.deadline = milliseconds(*given);
+        request.deadline = milliseconds(*parsed);
     }
     result<prompt_profile> prompt = dialect.read_prompt(head);
     if (!prompt) {
@@ -51,33 +53,35 @@
     return request;
 }
 
-std::vector<http_header> passed_headers(const message_head& head, const gateway_dialect& dialect) {
-    std::vector<http_header> passed = end_to_end_headers(head);
+std::vector<http_header> forwarded_request_headers(const message_head& head,
+                                                   const gateway_dialect& dialect) {
+    std::vector<http_header> headers = end_to_end_headers(head);
     for (const std::string& name : dialect.always_passed) {
-        const bool kept = std::any_of(passed.begin(), passed.end(), [&name](const auto& header) {
-            return same_header_name(header.name, name);
-        });
+        const bool is_present = std::any_of(
+            headers.begin(), headers.end(),
+            [&name](const auto& header) { return same_header_name(header.name, name); });
         const std::string_view value = head.header(name);
-        if (!kept && !value.empty()) {
-            passed.push_back({name, std::string(value)});
+        if (!is_present && !value.empty()) {
+            headers.push_back({name, std::string(value)});
         }
     }
-    std::erase_if(passed, [&dialect](const http_header& header) {
+    std::erase_if(headers, [&dialect](const http_header& header) {
         return is_one_of(header.name, dialect.set_by_gateway) ||
                same_header_name(header.name, dialect.key) ||
                same_header_name(header.name, dialect.deadline_ms) ||
                same_header_name(header.name, dialect.last_event);
     });
-    return passed;
+    return headers;
 }
 
-std::vector<http_header> answer_headers(const message_head& head, const gateway_dialect& dialect) {
-    std::vector<http_header> passed = end_to_end_headers(head);
-    std::erase_if(passed, [&dialect](const http_header& header) {
+std::vector<http_header> caller_response_headers(const message_head& head,
+                                                 const gateway_dialect& dialect) {
+    std::vector<http_header> headers = end_to_end_headers(head);
+    std::erase_if(headers, [&dialect](const http_header& header) {
         return same_header_name(header.name, dialect.load) ||
                same_header_name(header.name, dialect.not_run);
     });
-    return passed;
+    return headers;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/incoming_request.hpp
+++ b/src/roles/gateway/incoming_request.hpp
@@ -11,28 +11,32 @@
 
 namespace wrenswitch {
 
-/// What a caller's request says, in the gateway's own terms.
+/// The fields of a caller's request, independent of the platform's header names.
 struct incoming_request {
     std::string id;
     std::string host;
     /// Without the query.
     std::string path;
     std::string key;
-    /// How long the caller will wait, if it says so.
+    /// How long the caller will wait, if the request states it.
     std::optional<microseconds> deadline;
     prompt_profile prompt;
-    /// The last event that the caller has of a stream that it resumes, or an empty text.
+    /// The identifier of the last event that the caller received of a stream that it resumes, or an
+    /// empty string.
     std::string last_event;
 };
 
-/// Reads a request's head. An error says what is malformed.
-result<incoming_request> read_incoming(const message_head& head, const gateway_dialect& dialect);
+/// Parses the head of a request. The error says what is malformed.
+result<incoming_request> parse_incoming_request(const message_head& head,
+                                                const gateway_dialect& dialect);
 
-/// The headers that a target is sent whatever the attempt: the caller's, less those of one
-/// connection, those that only the gateway may set, and the caller's key.
-std::vector<http_header> passed_headers(const message_head& head, const gateway_dialect& dialect);
+/// The headers that each attempt sends to its target: those of the caller except hop-by-hop
+/// headers, headers that only the gateway may set, and the caller's key.
+std::vector<http_header> forwarded_request_headers(const message_head& head,
+                                                   const gateway_dialect& dialect);
 
-/// The headers of a target's answer that the caller gets.
-std::vector<http_header> answer_headers(const message_head& head, const gateway_dialect& dialect);
+/// The headers of a target's response that the caller receives.
+std::vector<http_header> caller_response_headers(const message_head& head,
+                                                 const gateway_dialect& dialect);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/keeper_reach.cpp
+++ b/src/roles/gateway/keeper_reach.cpp
@@ -55,7 +55,7 @@
             return;
         }
         // The answer may lie unread in a process that is this late itself.
-        const bool late = monotonic_now() - due > own_lateness;
+        const bool late = monotonic_now() - due > late_timer_threshold;
         if (silent_.erase(host) > 0 && !late) {
             counters_.counter("placement_keepers_silent_total") += 1;
             hooks_.keeper_silent(host, answered_ask_ > asked);
--- a/src/roles/gateway/lag_watch.cpp
+++ b/src/roles/gateway/lag_watch.cpp
@@ -8,43 +8,44 @@
 namespace wrenswitch {
 namespace {
 
-/// How often the lag is looked at: five times in the shortest time that overload is judged by.
-constexpr microseconds look_period = milliseconds(20);
+/// How often the lag is sampled: five times in the shortest period over which overload is
+/// evaluated.
+constexpr microseconds sample_period = milliseconds(20);
 
 }  // namespace
 
-lag_watch::lag_watch(event_loop& loop, std::function<std::size_t()> requests,
-                     std::function<void(instant)> looked)
-    : loop_(loop), requests_(std::move(requests)), looked_(std::move(looked)) {}
+loop_lag_monitor::loop_lag_monitor(event_loop& loop, std::function<std::size_t()> active_requests,
+                                   std::function<void(instant)> on_sample)
+    : loop_(loop), active_requests_(std::move(active_requests)), on_sample_(std::move(on_sample)) {}
 
-lag_watch::~lag_watch() {
+loop_lag_monitor::~loop_lag_monitor() {
     *alive_ = false;
 }
 
-void lag_watch::start() {
-    look_later();
+void loop_lag_monitor::start() {
+    schedule_sample();
 }
 
-void lag_watch::look_later() {
-    const instant due = monotonic_now() + look_period;
-    loop_.call_after(look_period, [this, due, alive = alive_] {
+void loop_lag_monitor::schedule_sample() {
+    const instant due = monotonic_now() + sample_period;
+    loop_.call_after(sample_period, [this, due, alive = alive_] {
         if (*alive) {
-            look(std::max(microseconds(0), monotonic_now() - due));
-            look_later();
+            sample(std::max(microseconds(0), monotonic_now() - due));
+            schedule_sample();
         }
     });
 }
 
-void lag_watch::look(microseconds lag) {
+void loop_lag_monitor::sample(microseconds lag) {
     const instant now = monotonic_now();
     overload_.observe(now, lag);
-    looked_(now);
+    on_sample_(now);
     const bool overloaded = overload_.refused_share() > 0.0;
     if (overloaded == std::exchange(was_overloaded_, overloaded)) {
         return;
     }
     log_event(log_level::warning, overloaded ? "overloaded" : "no_longer_overloaded",
-              {{"lag_ms", millis_text(lag)}, {"requests", std::to_string(requests_())}});
+              {{"lag_ms", millis_text(lag)}, {"requests", std::to_string(active_requests_())}});
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/relay_choice.cpp
+++ b/src/roles/gateway/relay_choice.cpp
@@ -14,32 +14,33 @@
 
 }  // namespace
 
-std::vector<std::string> relays_to_ask(const gateway_settings& settings,
+std::vector<std::string> select_relays(const gateway_settings& settings,
                                        const active_configuration& configuration,
                                        const std::vector<gateway_target>& listed) {
     if (settings.relay_port == 0) {
         return {};
     }
-    std::vector<gateway_target> beside;
+    std::vector<gateway_target> engine_targets;
     for (const gateway_target& target : listed) {
         const gateway_service* service = configuration.find_service(target.service);
         if (service != nullptr && service->engine) {
-            beside.push_back(target);
+            engine_targets.push_back(target);
         }
     }
     const auto rank = [&settings](const gateway_target& target) {
-        const bool elsewhere = target.failure_domain != settings.failure_domain;
-        const bool is_far =
+        const bool in_other_domain = target.failure_domain != settings.failure_domain;
+        const bool in_other_region =
             !settings.regions.in_same_region(target.failure_domain, settings.failure_domain);
-        return std::tuple(is_far, elsewhere, spread_hash(target.id, spread_hash(settings.host)));
+        return std::tuple(in_other_region, in_other_domain,
+                          spread_hash(target.id, spread_hash(settings.host)));
     };
-    std::sort(beside.begin(), beside.end(),
+    std::sort(engine_targets.begin(), engine_targets.end(),
               [&rank](const gateway_target& left, const gateway_target& right) {
                   return rank(left) < rank(right);
               });
     std::vector<std::string> endpoints;
-    endpoints.reserve(beside.size());
-    for (const gateway_target& target : beside) {
+    endpoints.reserve(engine_targets.size());
+    for (const gateway_target& target : engine_targets) {
         endpoints.push_back("tcp://" + host_of(target.address) + ":" +
                             std::to_string(settings.relay_port));
     }
--- a/src/roles/gateway/relay_choice.hpp
+++ b/src/roles/gateway/relay_choice.hpp
@@ -9,10 +9,10 @@
 
 namespace wrenswitch {
 
-/// Where the relays are that a gateway may ask, in its order. Relays stand beside engines' targets.
-/// Each gateway begins with another one, those of its own failure domain first, then those of its
-/// own region.
-std::vector<std::string> relays_to_ask(const gateway_settings& settings,
+/// The endpoints of the relays that a gateway may use, in order of preference. Relays run on the
+/// hosts of targets of engine services. Those in the gateway's own failure domain come first, then
+/// those in its own region; within each group the order differs between gateways.
+std::vector<std::string> select_relays(const gateway_settings& settings,
                                        const active_configuration& configuration,
                                        const std::vector<gateway_target>& listed);
 
--- a/src/roles/gateway/request_charge.cpp
+++ b/src/roles/gateway/request_charge.cpp
@@ -5,15 +5,15 @@
 
 namespace wrenswitch {
 
-request_charge::request_charge(grant_holder& holder, std::string account, tokens prompt,
-                               tokens most_output)
+request_charge::request_charge(grant_holder& holder, std::string account, tokens prompt_tokens,
+                               tokens max_output)
     : holder_(&holder),
       account_(std::move(account)),
-      prompt_(prompt),
-      left_(prompt + most_output) {}
+      prompt_tokens_(prompt_tokens),
+      reserved_(prompt_tokens + max_output) {}
 
 request_charge::~request_charge() {
-    close();
+    settle();
 }
 
 request_charge::request_charge(request_charge&& other) noexcept {
@@ -22,47 +22,47 @@
 
 request_charge& request_charge::operator=(request_charge&& other) noexcept {
     if (this != &other) {
-        close();
+        settle();
         holder_ = std::exchange(other.holder_, nullptr);
         account_ = std::move(other.account_);
-        prompt_ = other.prompt_;
-        left_ = std::exchange(other.left_, 0);
+        prompt_tokens_ = other.prompt_tokens_;
+        reserved_ = std::exchange(other.reserved_, 0);
         spent_ = other.spent_;
-        prompt_spent_ = other.prompt_spent_;
+        prompt_charged_ = other.prompt_charged_;
     }
     return *this;
 }
 
 void request_charge::spend(instant now, tokens amount) {
-    const tokens possible = std::min(amount, left_);
-    if (holder_ == nullptr || possible <= 0) {
+    const tokens charged = std::min(amount, reserved_);
+    if (holder_ == nullptr || charged <= 0) {
         return;
     }
-    holder_->spend(now, account_, possible);
-    left_ -= possible;
-    spent_ += possible;
+    holder_->spend(now, account_, charged);
+    reserved_ -= charged;
+    spent_ += charged;
 }
 
-void request_charge::prompt_read(instant now) {
-    if (!std::exchange(prompt_spent_, true)) {
-        spend(now, prompt_);
+void request_charge::charge_prompt(instant now) {
+    if (!std::exchange(prompt_charged_, true)) {
+        spend(now, prompt_tokens_);
     }
 }
 
-void request_charge::handed_out(instant now, tokens amount) {
+void request_charge::charge_output(instant now, tokens amount) {
     spend(now, amount);
 }
 
-void request_charge::assume(instant now, tokens unseen) {
-    prompt_read(now);
+void request_charge::charge_unobserved(instant now, tokens unseen) {
+    charge_prompt(now);
     spend(now, unseen);
 }
 
-void request_charge::close() {
-    if (holder_ != nullptr && left_ > 0) {
-        holder_->release(account_, left_);
+void request_charge::settle() {
+    if (holder_ != nullptr && reserved_ > 0) {
+        holder_->release(account_, reserved_);
     }
-    left_ = 0;
+    reserved_ = 0;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/request_rollout.hpp
+++ b/src/roles/gateway/request_rollout.hpp
@@ -10,64 +10,68 @@
 
 namespace wrenswitch {
 
-/// One request's part in the roll-out of its service: the version it goes to, the permission to be
-/// sent there, and what came of each attempt. Without a roll-out it does nothing.
+/// The state of one request in the rollout of its service: the versions it may be sent to, the
+/// permission for each attempt, and the outcome of each attempt. It does nothing without a rollout.
 class request_rollout {
 public:
     explicit request_rollout(entry_rollouts& rollouts) : rollouts_(rollouts) {}
 
-    /// The request is for this service and route. `session` as in rollout_request.
-    void belongs_to(const std::string& service, const gateway_route& route, std::uint64_t session);
+    /// Sets the service and route of the request. `session` has the meaning of
+    /// rollout_request::session.
+    void set_request(const std::string& service, const gateway_route& route, std::uint64_t session);
 
-    /// The versions that an attempt may go to, by its number from 1; nothing if there is none
-    /// right now. Begins the choice of a target anew. A request that may have ended targets isn't
-    /// tried at an unproved version: if it ends well at another, the version was to blame, and if
-    /// not, the version isn't blamed for it.
+    /// Starts the choice of a target. Returns the versions that the attempt with this number,
+    /// counted from 1, may use, or nothing if none is currently allowed. A request that may have
+    /// crashed targets isn't sent to an unproven version: if it succeeds at another one, the
+    /// version caused the crashes, and if not, the version isn't blamed for it.
     std::optional<version_constraint> choose_versions(instant now, unsigned attempt,
                                                       bool suspected = false);
 
-    /// No target of the versions chosen can be had, `all_cold` as in target_choice. The versions to
-    /// look among instead, or nothing.
-    std::optional<version_constraint> look_further(bool all_cold);
+    /// The chosen versions have no available target; `all_cold` has the meaning of
+    /// target_choice::all_cold. Returns the versions to choose from instead, or nothing.
+    std::optional<version_constraint> choose_fallback_versions(bool all_cold);
 
-    /// An attempt is about to be sent to a target. False if it must not go there any more: the
-    /// versions are to be chosen again.
-    bool begin(instant now, const gateway_target& target);
+    /// Starts an attempt at a target. Returns false if the request must not be sent there any more
+    /// and the versions have to be chosen again.
+    bool begin_attempt(instant now, const gateway_target& target);
 
-    /// An order came while an attempt was under way that it knows nothing of.
-    void join(const gateway_target* target);
+    /// Handles an order that arrived while an attempt, which was started without it, is active.
+    void adopt_order(const gateway_target* target);
 
-    /// The target of the attempt has the request, as its answer shows.
-    void note_reached();
+    /// Records that the target of the current attempt has received the request, as its response
+    /// shows.
+    void record_target_reached();
 
-    /// The first event of a stream came, or the head of another answer.
-    void note_first(instant now);
+    /// Records the arrival of the first event of a stream, or of the head of another response.
+    void record_first_event(instant now);
 
-    /// The attempt under way ended. `pace` is the time from one event to the next.
-    void end(rollout_gate::outcome how, std::optional<microseconds> pace = {});
+    /// Ends the current attempt. `event_interval` is the mean time between events.
+    void end_attempt(rollout_gate::outcome outcome,
+                     std::optional<microseconds> event_interval = {});
 
 private:
-    /// The gate of the roll-out that the attempt under way is counted by, or null.
-    rollout_gate* gate_under_way();
+    /// The gate of the rollout in which the current attempt is counted, or null.
+    rollout_gate* active_gate();
 
     entry_rollouts& rollouts_;
     std::string service_;
     rollout_request request_;
-    version_constraint limit_;
-    bool may_repeat_ = false;
-    unsigned most_attempts_ = 1;
-    /// The order under which it has been counted as having reached a target: once, however often
-    /// it is sent.
-    std::optional<std::uint64_t> reached_in_;
-
-    /// Of the attempt under way; without an order it isn't counted.
-    std::optional<std::uint64_t> order_;
+    version_constraint constraint_;
+    bool repeatable_ = false;
+    unsigned max_attempts_ = 1;
+    /// The order under which the request was counted as having reached a target. It is counted once
+    /// per order, however often it is sent.
+    std::optional<std::uint64_t> reached_order_;
+
+    /// The order under which the current attempt is counted, if any. The members below also belong
+    /// to the current attempt.
+    std::optional<std::uint64_t> attempt_order_;
     std::string version_;
     std::string target_;
-    instant began_{};
-    std::optional<microseconds> first_;
+    instant attempt_start_{};
+    std::optional<microseconds> time_to_first_event_;
     /// True if the attempt began before the order.
-    bool joined_ = false;
+    bool adopted_ = false;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/request_suspicion.cpp
+++ b/src/roles/gateway/request_suspicion.cpp
@@ -11,49 +11,49 @@
     return *fingerprint_;
 }
 
-suspicion request_suspicion::held() {
+suspicion request_suspicion::level() {
     return suspects_.any() ? suspects_.held_of(fingerprint()) : suspicion::none;
 }
 
-bool request_suspicion::begin(const target_incarnation& life) {
-    if (held() != suspicion::none) {
+bool request_suspicion::begin_attempt(const target_incarnation& incarnation) {
+    if (level() != suspicion::none) {
         if (!suspects_.begin_alone(fingerprint())) {
             return false;
         }
-        alone_ = true;
+        exclusive_ = true;
     }
-    life_ = life;
-    begun_ = true;
+    incarnation_ = incarnation;
+    attempt_active_ = true;
     return true;
 }
 
-/// An answer that can't be read shows that its target lives, and one that was never sent to shows
+/// A malformed response shows that the target is running, and a request that was not sent shows
 /// nothing.
-void request_suspicion::broke(instant now, upstream_failure failure) {
-    begun_ = false;
-    end_alone();
+void request_suspicion::record_connection_failure(instant now, upstream_failure failure) {
+    attempt_active_ = false;
+    release_exclusive_attempt();
     if (failure == upstream_failure::cut_short || failure == upstream_failure::broken) {
-        ends_.broke(now, life_, fingerprint());
+        crashes_.broke(now, incarnation_, fingerprint());
     }
 }
 
-void request_suspicion::left(instant now) {
-    end_alone();
-    if (std::exchange(begun_, false)) {
-        ends_.left(now, life_, fingerprint());
+void request_suspicion::record_abandonment(instant now) {
+    release_exclusive_attempt();
+    if (std::exchange(attempt_active_, false)) {
+        crashes_.left(now, incarnation_, fingerprint());
     }
 }
 
-void request_suspicion::answered(bool well) {
-    begun_ = false;
-    end_alone();
-    if (well) {
+void request_suspicion::record_response(bool succeeded) {
+    attempt_active_ = false;
+    release_exclusive_attempt();
+    if (succeeded) {
         suspects_.ended_well(fingerprint());
     }
 }
 
-void request_suspicion::end_alone() {
-    if (std::exchange(alone_, false)) {
+void request_suspicion::release_exclusive_attempt() {
+    if (std::exchange(exclusive_, false)) {
         suspects_.end_alone(fingerprint());
     }
 }
--- a/src/roles/gateway/request_suspicion.hpp
+++ b/src/roles/gateway/request_suspicion.hpp
@@ -9,58 +9,63 @@
 
 namespace wrenswitch {
 
-/// One request's part in finding those that end their targets: what is held against it, and what
-/// its runs show.
+/// Tracks one request in the search for requests that crash their targets: the suspicion against
+/// it, and the evidence of its attempts.
 class request_suspicion {
 public:
-    request_suspicion(suspect_exchange& suspects, target_ends& ends)
-        : suspects_(suspects), ends_(ends) {}
-    ~request_suspicion() { end_alone(); }
+    request_suspicion(suspect_exchange& suspects, target_ends& crashes)
+        : suspects_(suspects), crashes_(crashes) {}
+    ~request_suspicion() { release_exclusive_attempt(); }
     request_suspicion(const request_suspicion&) = delete;
     request_suspicion& operator=(const request_suspicion&) = delete;
 
-    /// What the request is known by. The texts must stay for as long as this.
-    void belongs_to(const request_content& content) { content_ = content; }
+    /// Sets the content that identifies the request. The referenced strings must outlive this
+    /// object.
+    void set_content(const request_content& content) { content_ = content; }
 
     const digest& fingerprint();
 
-    /// What is held against the request now.
-    suspicion held();
+    /// The current suspicion against the request.
+    suspicion level();
 
-    /// True if this is the request and a run of it is under way.
-    bool is_under_way(const digest& request) { return begun_ && fingerprint() == request; }
+    /// True if this is the request with the given fingerprint and an attempt of it is active.
+    bool has_active_attempt(const digest& request) {
+        return attempt_active_ && fingerprint() == request;
+    }
 
-    /// The request is about to be sent to a target. False if it must wait for the end of another
-    /// run of the same content.
-    bool begin(const target_incarnation& life);
+    /// Starts an attempt at a target. Returns false if the request must wait for the end of another
+    /// attempt with the same content.
+    bool begin_attempt(const target_incarnation& incarnation);
 
-    /// It isn't sent there after all.
-    void not_sent() {
-        begun_ = false;
-        end_alone();
+    /// Cancels an attempt that was not sent.
+    void cancel_attempt() {
+        attempt_active_ = false;
+        release_exclusive_attempt();
     }
 
-    /// Something of the target of the run under way came.
-    void heard(instant now) { ends_.heard(now, life_); }
+    /// Records that data of the target of the current attempt arrived.
+    void record_activity(instant now) { crashes_.heard(now, incarnation_); }
 
-    /// The run under way ended: its connection failed so.
-    void broke(instant now, upstream_failure failure);
-    /// ... this entry ended it before its answer came whole.
-    void left(instant now);
-    /// ... its target answered; `well` if it has run the request to a good end.
-    void answered(bool well);
+    /// Records that the connection of the current attempt failed.
+    void record_connection_failure(instant now, upstream_failure failure);
+    /// Records that this gateway ended the current attempt before its response was complete.
+    void record_abandonment(instant now);
+    /// Records the response to the current attempt. `succeeded` is true if the target completed the
+    /// request successfully.
+    void record_response(bool succeeded);
 
 private:
-    void end_alone();
+    void release_exclusive_attempt();
 
     suspect_exchange& suspects_;
-    target_ends& ends_;
+    target_ends& crashes_;
     request_content content_;
     std::optional<digest> fingerprint_;
-    target_incarnation life_;
-    bool begun_ = false;
-    /// True while the run is held to be the only one of its content here.
-    bool alone_ = false;
+    target_incarnation incarnation_;
+    bool attempt_active_ = false;
+    /// True while the request holds the permission to have the only attempt of its content at this
+    /// gateway.
+    bool exclusive_ = false;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/request_trace.hpp
+++ b/src/roles/gateway/request_trace.hpp
@@ -10,39 +10,40 @@
 
 namespace wrenswitch {
 
-/// The decisions that touched one request, kept until its end: a request that failed tells them
-/// all, of those that were served only a sample does.
+/// The decisions that affected one request, kept until it ends. They are logged for all failed
+/// requests and for a sample of the served ones.
 class request_trace {
 public:
-    /// Starts at the request's arrival.
+    /// Starts the trace at the arrival of the request.
     void begin(std::string id, instant now) {
         id_ = std::move(id);
-        began_ = now;
+        start_ = now;
     }
 
-    /// Adds a decision with the inputs that decided it. Beyond a bound only the count is kept.
+    /// Adds a decision with the inputs that determined it. Beyond a limit only the number of
+    /// decisions is kept.
     void add(instant now, std::string_view event, std::initializer_list<log_field> fields);
 
-    /// Writes all decisions as lines of the log, each with its time after the arrival.
-    void tell() const;
+    /// Logs all decisions, each with its time since the arrival of the request.
+    void write() const;
 
     const std::string& id() const { return id_; }
 
-    /// True if the request is one of the sample. The same requests are sampled in every process,
-    /// since the choice depends on their identifiers alone.
-    static bool sampled(std::string_view id, unsigned percent);
+    /// True if the request belongs to the sample. All processes sample the same requests, since the
+    /// choice depends on the identifier only.
+    static bool is_sampled(std::string_view id, unsigned percent);
 
 private:
     struct step {
-        microseconds at{};
+        microseconds elapsed{};
         std::string event;
         std::vector<owned_log_field> fields;
     };
 
     std::string id_;
-    instant began_{};
+    instant start_{};
     std::vector<step> steps_;
-    std::size_t left_out_ = 0;
+    std::size_t dropped_steps_ = 0;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/retry_after.hpp
+++ b/src/roles/gateway/retry_after.hpp
@@ -4,19 +4,21 @@
 
 namespace wrenswitch {
 
-/// When to come back after a refusal, by what has to change until then.
-constexpr microseconds until_configured = milliseconds(300);
-constexpr microseconds until_tokens = milliseconds(500);
-constexpr microseconds until_targets = milliseconds(200);
-constexpr microseconds until_turns = milliseconds(400);
-/// Another entry may have an earlier turn, and targets may come.
-constexpr microseconds longest_until_turns = seconds(10);
-/// A region without targets stays so for longer than one that is merely busy.
-constexpr microseconds until_region_has_targets = seconds(1);
-constexpr microseconds until_elsewhere = milliseconds(50);
-constexpr microseconds until_less_busy = milliseconds(150);
+/// The times after which a caller should retry a refused request, by the reason of the refusal.
+constexpr microseconds configuration_retry_after = milliseconds(300);
+constexpr microseconds tokens_retry_after = milliseconds(500);
+constexpr microseconds targets_retry_after = milliseconds(200);
+constexpr microseconds permit_retry_after = milliseconds(400);
+/// Upper bound of the time given to a caller that waits for a send permit: another gateway may get
+/// one earlier, and new targets may start.
+constexpr microseconds max_permit_retry_after = seconds(10);
+/// A region without targets stays so for longer than one that is only busy.
+constexpr microseconds region_retry_after = seconds(1);
+constexpr microseconds isolated_retry_after = milliseconds(50);
+constexpr microseconds overloaded_retry_after = milliseconds(150);
 
-/// A run that ends its target does so within some 100 ms, and the end is known 150 ms later.
-constexpr microseconds until_suspect_ended = milliseconds(300);
+/// A request that crashes its target does so within about 100 ms, and the crash is known 150 ms
+/// later.
+constexpr microseconds suspect_retry_after = milliseconds(300);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/service_retries.cpp
+++ b/src/roles/gateway/service_retries.cpp
@@ -7,15 +7,15 @@
 namespace wrenswitch {
 namespace {
 
-/// How often a service whose targets get retries is told of: a few lines a window over which
-/// retries are bounded.
-constexpr microseconds told_every = seconds(2);
+/// How often the retries of a service are logged, if there were any: a few lines per window of the
+/// retry budget.
+constexpr microseconds log_period = seconds(2);
 
 }  // namespace
 
-service_retries::service_account& service_retries::account_of(const std::string& service) {
-    const auto known = accounts_.find(service);
-    if (known != accounts_.end()) {
+service_retry_budgets::service_state& service_retry_budgets::state_of(const std::string& service) {
+    const auto known = services_.find(service);
+    if (known != services_.end()) {
         return known->second;
     }
     const metric_label label{"service", service};
@@ -25,9 +25,9 @@
     const auto gauge = [this, &label](std::string_view name) -> double& {
         return counters_.gauge(labelled(name, {label}));
     };
-    return accounts_
+    return services_
         .emplace(service,
-                 service_account{
+                 service_state{
                      retry_budget(share_, window_), counter("gateway_first_tries_total"),
                      counter("gateway_retries_total"), counter("gateway_retries_denied_total"),
                      counter("gateway_retries_unasked_total"), gauge("gateway_retries_allowed"),
@@ -35,56 +35,56 @@
         .first->second;
 }
 
-void service_retries::first_try(instant now, const std::string& service) {
-    service_account& account = account_of(service);
-    account.first_tries += 1;
-    account.budget.record_first_try(now);
+void service_retry_budgets::record_first_try(instant now, const std::string& service) {
+    service_state& state = state_of(service);
+    state.first_tries += 1;
+    state.budget.record_first_try(now);
 }
 
-bool service_retries::take(instant now, const std::string& service) {
-    service_account& account = account_of(service);
-    const bool allowed = account.budget.try_acquire_retry(now);
-    (allowed ? account.taken : account.denied) += 1;
+bool service_retry_budgets::try_acquire_retry(instant now, const std::string& service) {
+    service_state& state = state_of(service);
+    const bool allowed = state.budget.try_acquire_retry(now);
+    (allowed ? state.taken : state.denied) += 1;
     return allowed;
 }
 
-void service_retries::followed_unsent(const std::string& service) {
-    account_of(service).unasked += 1;
+void service_retry_budgets::record_unbudgeted_retry(const std::string& service) {
+    state_of(service).unbudgeted += 1;
 }
 
-double service_retries::allowed(instant now, const std::string& service) {
-    return account_of(service).budget.available_retries(now);
+double service_retry_budgets::available_retries(instant now, const std::string& service) {
+    return state_of(service).budget.available_retries(now);
 }
 
-void service_retries::tick(instant now) {
-    const bool due = now - told_at_ >= told_every;
-    for (auto& [service, account] : accounts_) {
-        account.allowed = account.budget.available_retries(now);
-        account.first_tries_in_window = account.budget.first_tries_in_window(now);
-        account.taken_in_window = account.budget.retries_in_window(now);
+void service_retry_budgets::tick(instant now) {
+    const bool due = now - last_logged_ >= log_period;
+    for (auto& [service, state] : services_) {
+        state.allowed = state.budget.available_retries(now);
+        state.first_tries_in_window = state.budget.first_tries_in_window(now);
+        state.taken_in_window = state.budget.retries_in_window(now);
         if (due) {
-            tell(account, service);
+            log_counts(state, service);
         }
     }
     if (due) {
-        told_at_ = now;
+        last_logged_ = now;
     }
 }
 
-void service_retries::tell(service_account& account, const std::string& service) {
-    const std::uint64_t counted = account.taken + account.denied + account.unasked;
-    if (std::exchange(account.told, counted) == counted) {
+void service_retry_budgets::log_counts(service_state& state, const std::string& service) {
+    const std::uint64_t counted = state.taken + state.denied + state.unbudgeted;
+    if (std::exchange(state.logged_total, counted) == counted) {
         return;
     }
     log_event(log_level::information, "retries_counted",
               {{"service", service},
-               {"first_tries", std::to_string(account.first_tries)},
-               {"taken", std::to_string(account.taken)},
-               {"denied", std::to_string(account.denied)},
-               {"unasked", std::to_string(account.unasked)},
-               {"allowed", std::to_string(account.allowed)},
-               {"first_tries_in_window", std::to_string(account.first_tries_in_window)},
-               {"taken_in_window", std::to_string(account.taken_in_window)}});
+               {"first_tries", std::to_string(state.first_tries)},
+               {"taken", std::to_string(state.taken)},
+               {"denied", std::to_string(state.denied)},
+               {"unasked", std::to_string(state.unbudgeted)},
+               {"allowed", std::to_string(state.allowed)},
+               {"first_tries_in_window", std::to_string(state.first_tries_in_window)},
+               {"taken_in_window", std::to_string(state.taken_in_window)}});
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/service_retries.hpp
+++ b/src/roles/gateway/service_retries.hpp
@@ -10,53 +10,53 @@
 
 namespace wrenswitch {
 
-/// What bounds an entry's retries, by service, so that one that fails can't use up another's. It
-/// counts and tells what each budget earned, gave and denied, so that the sum over all entries can
-/// be had from their figures or their logs.
-class service_retries {
+/// The retry budgets of a gateway, one per service, so that a failing service can't use up the
+/// retries of another. It counts and logs the first tries, retries and denials of each budget, so
+/// that the total of all gateways can be computed from their metrics or their logs.
+class service_retry_budgets {
 public:
-    /// `share` is the retries that may follow a first try, `window` the time over which the bound
-    /// counts them.
-    service_retries(double share, microseconds window, metrics& counters)
+    /// `share` is the number of retries that are allowed per first try, `window` the period over
+    /// which they are counted.
+    service_retry_budgets(double share, microseconds window, metrics& counters)
         : share_(share), window_(window), counters_(counters) {}
 
-    /// Counts a request's first try.
-    void first_try(instant now, const std::string& service);
+    /// Counts the first try of a request.
+    void record_first_try(instant now, const std::string& service);
 
-    /// True, and counted, if a retry is allowed now.
-    bool take(instant now, const std::string& service);
+    /// Returns true, and counts the retry, if the budget allows one now.
+    bool try_acquire_retry(instant now, const std::string& service);
 
-    /// Counts an attempt after one that reached nobody, which asks no budget.
-    void followed_unsent(const std::string& service);
+    /// Counts an attempt that follows one which failed to connect, and so needs no budget.
+    void record_unbudgeted_retry(const std::string& service);
 
-    /// The retries that a service would be allowed now.
-    double allowed(instant now, const std::string& service);
+    /// The number of retries that the service is allowed now.
+    double available_retries(instant now, const std::string& service);
 
-    /// Shows the figures, and tells now and then of services with retries.
+    /// Updates the metrics, and periodically logs the services that had retries.
     void tick(instant now);
 
 private:
-    struct service_account {
+    struct service_state {
         retry_budget budget;
         std::uint64_t& first_tries;
         std::uint64_t& taken;
         std::uint64_t& denied;
-        std::uint64_t& unasked;
+        std::uint64_t& unbudgeted;
         double& allowed;
         double& first_tries_in_window;
         double& taken_in_window;
-        /// What was taken, denied and unasked when it was last told.
-        std::uint64_t told = 0;
+        /// The sum of taken, denied and unbudgeted retries when it was last logged.
+        std::uint64_t logged_total = 0;
     };
 
-    service_account& account_of(const std::string& service);
-    static void tell(service_account& account, const std::string& service);
+    service_state& state_of(const std::string& service);
+    static void log_counts(service_state& state, const std::string& service);
 
     double share_;
     microseconds window_;
     metrics& counters_;
-    std::map<std::string, service_account> accounts_;
-    instant told_at_{};
+    std::map<std::string, service_state> services_;
+    instant last_logged_{};
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/signal_exchange.cpp
+++ b/src/roles/gateway/signal_exchange.cpp
@@ -60,7 +60,7 @@
 
 signal_exchange::signal_exchange(event_loop& loop, message_bus& bus,
                                  const token_allocator_selector& members, target_pool& targets,
-                                 event_log& events, metrics& counters)
+                                 rate_limited_log& events, metrics& counters)
     : loop_(loop),
       bus_(bus),
       members_(members),
@@ -94,10 +94,10 @@
         return;
     }
     counters_.counter("gateway_targets_leaving_by_signal_total") += 1;
-    events_.routine("target_says_it_leaves", {{"target", life.target},
-                                              {"known_from", "answer"},
-                                              {"request", std::string(request)},
-                                              {"load", targets_.describe(now, life.target)}});
+    events_.log_routine("target_says_it_leaves", {{"target", life.target},
+                                                  {"known_from", "answer"},
+                                                  {"request", std::string(request)},
+                                                  {"load", targets_.describe(now, life.target)}});
     tell_soon(life.target);
 }
 
@@ -105,30 +105,30 @@
                                  std::string_view request, const target_signals& signals) {
     if (!signals.unreadable_backoff.empty()) {
         counters_.counter("gateway_target_rests_unreadable_total") += 1;
-        events_.routine("target_rest_unreadable",
-                        {{"target", life.target},
-                         {"request", std::string(request)},
-                         {"said", signals.unreadable_backoff.substr(0, most_told_bytes)}});
+        events_.log_routine("target_rest_unreadable",
+                            {{"target", life.target},
+                             {"request", std::string(request)},
+                             {"said", signals.unreadable_backoff.substr(0, most_told_bytes)}});
     }
     if (!signals.backoff) {
         return;
     }
     targets_.backoffs().add(now, life.target, *signals.backoff);
     counters_.counter("gateway_target_rests_total") += 1;
-    events_.routine("target_wants_rest", {{"target", life.target},
-                                          {"rest_ms", millis_text(*signals.backoff)},
-                                          {"request", std::string(request)},
-                                          {"load", targets_.describe(now, life.target)}});
+    events_.log_routine("target_wants_rest", {{"target", life.target},
+                                              {"rest_ms", millis_text(*signals.backoff)},
+                                              {"request", std::string(request)},
+                                              {"load", targets_.describe(now, life.target)}});
 }
 
 void signal_exchange::limit_heard(instant now, const target_incarnation& life, instant sent,
                                   std::string_view request, const target_signals& signals) {
     if (!signals.unreadable_limit.empty()) {
         counters_.counter("gateway_target_limits_unreadable_total") += 1;
-        events_.routine("target_limit_unreadable",
-                        {{"target", life.target},
-                         {"request", std::string(request)},
-                         {"said", signals.unreadable_limit.substr(0, most_told_bytes)}});
+        events_.log_routine("target_limit_unreadable",
+                            {{"target", life.target},
+                             {"request", std::string(request)},
+                             {"said", signals.unreadable_limit.substr(0, most_told_bytes)}});
         if (!signals.max_per_second) {
             return;
         }
@@ -140,7 +140,7 @@
         return;
     }
     counters_.counter("gateway_target_limit_changes_total") += 1;
-    events_.routine(
+    events_.log_routine(
         event_name(news),
         {{"target", life.target},
          {"limit", limit_text(signals.max_per_second)},
@@ -222,8 +222,9 @@
     if (news.signals_size() > most_signals_in_a_message ||
         news.asked_size() > most_signals_in_a_message) {
         counters_.counter("gateway_target_signals_refused_total") += 1;
-        events_.routine("target_signals_refused", {{"signals", std::to_string(news.signals_size())},
-                                                   {"asked", std::to_string(news.asked_size())}});
+        events_.log_routine("target_signals_refused",
+                            {{"signals", std::to_string(news.signals_size())},
+                             {"asked", std::to_string(news.asked_size())}});
         return true;
     }
     signals_told(now, news);
@@ -245,8 +246,8 @@
         }
         if (signal.leaving() && targets_.mark_draining(signal.target())) {
             counters_.counter("gateway_targets_leaving_by_signal_total") += 1;
-            events_.routine("target_says_it_leaves",
-                            {{"target", signal.target()}, {"known_from", "other entry"}});
+            events_.log_routine("target_says_it_leaves",
+                                {{"target", signal.target()}, {"known_from", "other entry"}});
         }
         if (signal.says_limit()) {
             limit_told(now, signal);
@@ -265,11 +266,11 @@
         return;
     }
     counters_.counter("gateway_target_limit_changes_total") += 1;
-    events_.routine(event_name(change), {{"target", signal.target()},
-                                         {"limit", limit_text(limit)},
-                                         {"limit_before", limit_text(before)},
-                                         {"known_from", "other entry"},
-                                         {"age_ms", millis_text(age)}});
+    events_.log_routine(event_name(change), {{"target", signal.target()},
+                                             {"limit", limit_text(limit)},
+                                             {"limit_before", limit_text(before)},
+                                             {"known_from", "other entry"},
+                                             {"age_ms", millis_text(age)}});
 }
 
 /// An entry that sends nothing to a limited target never hears itself that the limit has ended.
--- a/src/roles/gateway/signal_exchange.hpp
+++ b/src/roles/gateway/signal_exchange.hpp
@@ -32,7 +32,7 @@
 public:
     /// All that is referred to must outlive this.
     signal_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
-                    target_pool& targets, event_log& events, metrics& counters);
+                    target_pool& targets, rate_limited_log& events, metrics& counters);
     ~signal_exchange();
     signal_exchange(const signal_exchange&) = delete;
     signal_exchange& operator=(const signal_exchange&) = delete;
@@ -68,7 +68,7 @@
     message_bus& bus_;
     const token_allocator_selector& members_;
     target_pool& targets_;
-    event_log& events_;
+    rate_limited_log& events_;
     metrics& counters_;
     random_source random_;
     /// Targets of which the others are to be told.
--- a/src/roles/gateway/target_list.cpp
+++ b/src/roles/gateway/target_list.cpp
@@ -7,107 +7,110 @@
 namespace wrenswitch {
 namespace {
 
-/// A line doesn't hold more of what another writer's entry may bring.
-constexpr std::size_t most_told_bytes = 300;
+/// The maximum length of the findings in a log line, since the entries are written by other
+/// processes.
+constexpr std::size_t max_logged_bytes = 300;
 
-std::string started_text(const gateway_target& target) {
+std::string format_start(const gateway_target& target) {
     return target.started ? std::to_string(*target.started) : "";
 }
 
 }  // namespace
 
-void target_list::changed(instant now, const keyed_record& record) {
+void target_list::apply(instant now, const keyed_record& record) {
     if (!record.value) {
-        unlisted(now, record.key);
+        remove_target(now, record.key);
         return;
     }
-    const result<listed_target> read = hooks_.read(record.key, *record.value);
+    const result<listed_target> read = hooks_.parse(record.key, *record.value);
     if (!read) {
-        unreadable(record, read.error().message);
+        report_unreadable(record, read.error().message);
         return;
     }
-    if (unreadable_.erase(record.key) > 0) {
+    if (unreadable_entries_.erase(record.key) > 0) {
         log_event(log_level::information, "target_entry_readable", {{"target", record.key}});
     }
-    listed(now, record, read.value());
+    update_target(now, record, read.value());
 }
 
-void target_list::unlisted(instant now, const std::string& id) {
-    unreadable_.erase(id);
+void target_list::remove_target(instant now, const std::string& id) {
+    unreadable_entries_.erase(id);
     targets_.remove(now, id);
     log_event(log_level::information, "target_unlisted", {{"target", id}});
-    hooks_.unlisted(id);
+    hooks_.on_unlisted(id);
 }
 
-/// Told when it turns unreadable or is so in another way, not with each beat.
-void target_list::unreadable(const keyed_record& record, const std::string& why) {
+/// Logged when an entry becomes unreadable or its findings change, but not at each renewal of the
+/// entry.
+void target_list::report_unreadable(const keyed_record& record, const std::string& why) {
     counters_.counter("gateway_targets_unreadable_total") += 1;
     targets_.mark_unreadable(record.key);
-    std::string told = why.substr(0, most_told_bytes);
-    std::replace(told.begin(), told.end(), '\n', ';');
-    std::string& before = unreadable_[record.key];
-    if (before == told) {
+    std::string summary = why.substr(0, max_logged_bytes);
+    std::replace(summary.begin(), summary.end(), '\n', ';');
+    std::string& logged_summary = unreadable_entries_[record.key];
+    if (logged_summary == summary) {
         return;
     }
-    before = told;
+    logged_summary = summary;
     log_event(log_level::error, "target_entry_unreadable",
               {{"target", record.key},
                {"offset", std::to_string(record.offset)},
                {"known", targets_.find(record.key) == nullptr ? "no" : "yes"},
-               {"findings", told}});
+               {"findings", summary}});
 }
 
-bool target_list::is_of_older_start(const gateway_target& target,
-                                    const gateway_target* known) const {
+bool target_list::is_stale_entry(const gateway_target& target, const gateway_target* known) const {
     return known != nullptr && known->started && target.started &&
            *target.started < *known->started;
 }
 
-/// True if the target's process is another one than before. What is known of the one before ends.
-bool target_list::look_for_restart(const gateway_target& target, const gateway_target* known) {
+/// Drops the state of the previous process if the target was restarted, and the connections if it
+/// was restarted or moved to another address. Returns true for a restart.
+bool target_list::handle_restart(const gateway_target& target, const gateway_target* known) {
     if (known == nullptr) {
         return false;
     }
-    const bool again = known->started && target.started && *target.started > *known->started;
-    if (again) {
+    const bool is_restarted = known->started && target.started && *target.started > *known->started;
+    if (is_restarted) {
         counters_.counter("gateway_targets_restarted_total") += 1;
         log_event(log_level::information, "target_restarted",
                   {{"target", target.id},
-                   {"started", started_text(target)},
-                   {"started_before", started_text(*known)},
+                   {"started", format_start(target)},
+                   {"started_before", format_start(*known)},
                    {"dropped", targets_.describe(monotonic_now(), target.id)}});
         targets_.on_restarted(target.id);
-        hooks_.restarted(target.id);
+        hooks_.on_restarted(target.id);
     }
-    if (again || known->address != target.address) {
-        hooks_.replaced(target.id);
+    if (is_restarted || known->address != target.address) {
+        hooks_.on_replaced(target.id);
     }
-    return again;
+    return is_restarted;
 }
 
-void target_list::listed(instant now, const keyed_record& record, const listed_target& entry) {
+void target_list::update_target(instant now, const keyed_record& record,
+                                const listed_target& entry) {
     const gateway_target& target = entry.target;
     const gateway_target* known = targets_.find(record.key);
-    if (is_of_older_start(target, known)) {
-        // A word of the process before that came late.
+    if (is_stale_entry(target, known)) {
+        // A late entry of the previous process.
         counters_.counter("gateway_target_entries_late_total") += 1;
         return;
     }
     const bool is_new = known == nullptr;
-    const bool news = is_new || !(*known == target);
-    const bool restarted = look_for_restart(target, known);
+    const bool is_changed = is_new || !(*known == target);
+    const bool restarted = handle_restart(target, known);
     // A restored store reuses offsets, so they can't order entries.
     targets_.apply(target, ++entry_sequence_);
     targets_.mark_cold(now, target.id, entry.cold_remaining);
     if (is_new || restarted) {
         targets_.quarantine_new_version(now, target.id);
     }
-    if (news) {
+    if (is_changed) {
         log_event(log_level::information, "target_listed",
                   {{"target", target.id},
                    {"service", target.service},
                    {"address", target.address},
-                   {"started", started_text(target)},
+                   {"started", format_start(target)},
                    {"leaving", target.draining ? "yes" : "no"},
                    {"cold_ms", millis_text(entry.cold_remaining)}});
     }
--- a/src/roles/gateway/token_exchange.cpp
+++ b/src/roles/gateway/token_exchange.cpp
@@ -210,7 +210,7 @@
             return;
         }
         // The answer may lie unread in a process that is this late itself.
-        const bool late = monotonic_now() - due > own_lateness;
+        const bool late = monotonic_now() - due > late_timer_threshold;
         if (late && found->second.extensions < most_extensions) {
             found->second.extensions += 1;
             watch_silence(number, longest);
--- a/tests/platform/translation_test.cpp
+++ b/tests/platform/translation_test.cpp
@@ -27,7 +27,7 @@
     }
 
     std::string passed(std::string_view name) {
-        for (const http_header& header : passed_headers(head, dialect)) {
+        for (const http_header& header : forwarded_request_headers(head, dialect)) {
             if (same_header_name(header.name, name)) {
                 return header.value;
             }
@@ -64,7 +64,7 @@
 BOOST_FIXTURE_TEST_SUITE(translation_test, translation_fixture)
 
 BOOST_AUTO_TEST_CASE(request_read_has_its_parts) {
-    const auto read = read_incoming(head, dialect);
+    const auto read = parse_incoming_request(head, dialect);
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read.value().path == "/lohu930/2f");
     BOOST_TEST(read.value().prompt.prompt_tokens == 1460);
@@ -78,17 +78,17 @@
 BOOST_AUTO_TEST_CASE(request_without_identifier_or_with_a_repeated_header_is_malformed) {
     message_head repeated = head;
     repeated.headers.push_back({"deadline-ms", "1"});
-    BOOST_TEST(!read_incoming(repeated, dialect).has_value());
+    BOOST_TEST(!parse_incoming_request(repeated, dialect).has_value());
     std::erase_if(head.headers, [](const auto& header) { return header.name == "Request-Id"; });
-    BOOST_TEST(!read_incoming(head, dialect).has_value());
+    BOOST_TEST(!parse_incoming_request(head, dialect).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(guessed_length_is_read_and_a_bad_one_is_no_guess) {
     head.headers.push_back({"Length-Hint", "55"});
-    BOOST_TEST(read_incoming(head, dialect).value().prompt.output_hint == 55);
+    BOOST_TEST(parse_incoming_request(head, dialect).value().prompt.output_hint == 55);
     for (const char* guess : {"x", "-5", "5x"}) {
         head.headers.back().value = guess;
-        BOOST_TEST(read_incoming(head, dialect).value().prompt.output_hint == 0);
+        BOOST_TEST(parse_incoming_request(head, dialect).value().prompt.output_hint == 0);
     }
 }
 
@@ -96,7 +96,7 @@
     for (const char* usage : {"1460", "a,b", "-1,5", "5,-1", "1460,80,3x"}) {
         BOOST_TEST_CONTEXT(usage) {
             head.headers[3].value = usage;
-            BOOST_TEST(!read_incoming(head, dialect).has_value());
+            BOOST_TEST(!parse_incoming_request(head, dialect).has_value());
         }
     }
 }
--- a/tests/roles/entry_rollouts_test.cpp
+++ b/tests/roles/entry_rollouts_test.cpp
@@ -127,15 +127,15 @@
     gateway_route route;
     route.name = "once";
     request_rollout run(rollouts);
-    run.belongs_to("app", route, 3);
+    run.set_request("app", route, 3);
     BOOST_TEST((run.choose_versions(now, 1)->rule == version_rule::other_than));
     gateway_target target;
     target.id = "o1";
     target.version = "v1";
-    BOOST_TEST(run.begin(now, target));
+    BOOST_TEST(run.begin_attempt(now, target));
     rollouts.ordered(now, order(9));
-    run.note_reached();
-    run.end(rollout_gate::outcome::succeeded);
+    run.record_target_reached();
+    run.end_attempt(rollout_gate::outcome::succeeded);
     BOOST_TEST(rollouts.gate_of("app")->report(now).reached == 0U);
     BOOST_TEST(rollouts.gate_of("app")->evidence().counts.empty());
 }
@@ -143,19 +143,19 @@
 BOOST_AUTO_TEST_CASE(request_from_before_the_order_holds_up_the_move_and_gives_no_budget) {
     gateway_route route;
     request_rollout run(rollouts);
-    run.belongs_to("app", route, 3);
+    run.set_request("app", route, 3);
     gateway_target target;
     target.version = "v1";
     BOOST_TEST((run.choose_versions(now, 1)->rule == version_rule::any));
-    BOOST_TEST(run.begin(now, target));
+    BOOST_TEST(run.begin_attempt(now, target));
     rollouts.ordered(now, order(5));
-    run.join(&target);
-    run.join(&target);
+    run.adopt_order(&target);
+    run.adopt_order(&target);
     tell(5, rollout_phase::moving);
     const instant late = now + seconds(5);
     BOOST_TEST(!rollouts.gate_of("app")->report(late).moved);
-    run.note_reached();
-    run.end(rollout_gate::outcome::succeeded);
+    run.record_target_reached();
+    run.end_attempt(rollout_gate::outcome::succeeded);
     BOOST_TEST(rollouts.gate_of("app")->report(late).moved);
     BOOST_TEST(rollouts.gate_of("app")->report(late).reached == 0U);
 }
@@ -187,10 +187,10 @@
     rollouts.ordered(now, order(5));
     tell(5, rollout_phase::completed);
     request_rollout run(rollouts);
-    run.belongs_to("app", {}, 3);
+    run.set_request("app", {}, 3);
     BOOST_TEST((run.choose_versions(now, 1)->rule == version_rule::only));
-    BOOST_TEST((run.look_further(false)->rule == version_rule::other_than));
-    BOOST_TEST(!run.look_further(false).has_value());
+    BOOST_TEST((run.choose_fallback_versions(false)->rule == version_rule::other_than));
+    BOOST_TEST(!run.choose_fallback_versions(false).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(unreadable_order_changes_nothing) {
@@ -235,7 +235,7 @@
     for (std::uint64_t session = 0; session < 500; ++session) {
         for (const bool suspected : {false, true}) {
             request_rollout part(rollouts);
-            part.belongs_to("app", route, session);
+            part.set_request("app", route, session);
             const auto limit = part.choose_versions(now, 1, suspected);
             BOOST_REQUIRE(limit.has_value());
             const bool at_new = limit->rule == version_rule::only;
@@ -243,9 +243,9 @@
             gateway_target target;
             target.id = at_new ? "new" : "old";
             target.version = at_new ? "v2" : "v1";
-            BOOST_REQUIRE(part.begin(now, target));
-            part.note_reached();
-            part.end(rollout_gate::outcome::succeeded);
+            BOOST_REQUIRE(part.begin_attempt(now, target));
+            part.record_target_reached();
+            part.end_attempt(rollout_gate::outcome::succeeded);
         }
     }
     BOOST_TEST(tried > 0U);
--- a/tests/roles/target_list_test.cpp
+++ b/tests/roles/target_list_test.cpp
@@ -9,7 +9,8 @@
 
 const instant now{seconds(50)};
 
-/// A list of two targets of one service, whose entries are "START ADDRESS" or can't be read.
+/// A list of two targets of one service. Entries have the form "START ADDRESS"; others can't be
+/// read.
 struct target_list_fixture {
     random_source random{1};
     metrics counters;
@@ -31,26 +32,26 @@
     }
 
     static result<listed_target> read(std::string_view id, std::string_view value) {
-        const std::size_t gap = value.find(' ');
-        if (gap == std::string_view::npos) {
+        const std::size_t separator = value.find(' ');
+        if (separator == std::string_view::npos) {
             return failed(error_code::bad_input, "/start: nothing");
         }
         listed_target listed;
         listed.target.id = id;
         listed.target.service = "app";
-        listed.target.address = value.substr(gap + 1);
+        listed.target.address = value.substr(separator + 1);
         listed.target.slots = 6;
-        listed.target.started = std::stoll(std::string(value.substr(0, gap)));
+        listed.target.started = std::stoll(std::string(value.substr(0, separator)));
         return listed;
     }
 
     void put(const std::string& id, std::optional<std::string> value) {
-        list.changed(now, {id, std::move(value), ++offset});
+        list.apply(now, {id, std::move(value), ++offset});
     }
 
     std::set<std::string> picked() {
         std::set<std::string> ids;
-        for (int turn = 0; turn < 50; ++turn) {
+        for (int attempt = 0; attempt < 50; ++attempt) {
             if (const gateway_target* target = pool.pick(now, "app", {}).target) {
                 ids.insert(target->id);
             }
@@ -65,7 +66,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(target_list_test, target_list_fixture)
 
-BOOST_AUTO_TEST_CASE(entry_that_can_not_be_read_names_no_target_and_the_others_hold) {
+BOOST_AUTO_TEST_CASE(unreadable_entry_excludes_its_target_and_keeps_the_others) {
     put("a", "nonsense");
     BOOST_TEST((picked() == std::set<std::string>{"b"}));
     put("b", "nonsense");
@@ -75,14 +76,14 @@
     BOOST_TEST(count("gateway_targets_unreadable_total") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(target_whose_entry_turned_unreadable_and_left_is_not_used_in_need) {
+BOOST_AUTO_TEST_CASE(removed_target_with_unreadable_entry_is_not_used_as_a_last_resort) {
     put("a", "nonsense");
     put("a", std::nullopt);
     put("b", std::nullopt);
     BOOST_TEST((picked() == std::set<std::string>{"b"}));
 }
 
-BOOST_AUTO_TEST_CASE(target_that_starts_again_loses_what_was_known_of_it) {
+BOOST_AUTO_TEST_CASE(restarted_target_loses_its_previous_state) {
     pool.on_unresponsive(now, "a");
     pool.on_load_report(now, "a", {5, 4});
     put("a", "200 10.0.0.1:80");
@@ -92,7 +93,7 @@
     BOOST_TEST(picked().contains("a"));
 }
 
-BOOST_AUTO_TEST_CASE(requests_under_way_at_a_target_that_starts_again_stay_counted) {
+BOOST_AUTO_TEST_CASE(active_requests_at_a_restarted_target_stay_counted) {
     pool.on_sent("a");
     put("a", "200 10.0.0.1:80");
     BOOST_TEST(pool.describe(now, "a").find("own=1") != std::string::npos);
@@ -100,7 +101,7 @@
     BOOST_TEST(pool.describe(now, "a").find("own=0") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(word_of_an_older_start_that_comes_late_changes_nothing) {
+BOOST_AUTO_TEST_CASE(late_entry_of_an_older_start_changes_nothing) {
     put("a", "200 10.0.0.3:80");
     put("a", "100 10.0.0.1:80");
     BOOST_TEST(pool.find("a")->address == "10.0.0.3:80");
@@ -108,13 +109,13 @@
     BOOST_TEST(replaced.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(entry_of_the_same_start_is_the_same_life) {
+BOOST_AUTO_TEST_CASE(entry_of_the_same_start_is_the_same_incarnation) {
     put("a", "100 10.0.0.1:80");
     BOOST_TEST(replaced.empty());
     BOOST_TEST(count("gateway_targets_restarted_total") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(address_that_changes_is_connected_to_anew) {
+BOOST_AUTO_TEST_CASE(changed_address_replaces_the_connections) {
     put("a", "100 10.0.0.7:80");
     BOOST_TEST((replaced == std::vector<std::string>{"a"}));
     BOOST_TEST(pool.find("a")->address == "10.0.0.7:80");
