--- a/spec/cold_turns.pml
+++ b/spec/cold_turns.pml
@@ -1,7 +1,7 @@
 /* A cold target gets no more than half as much again as its rate in any window, through changes of its
  * keeper, keepers that are lost and start anew, and a target that turns cold again.
  *
- * It stands for: warmup_pacer, warmup_limiter (mark_cold, defer_permits) and placement_desk. Time goes in ticks. A
+ * It stands for: warmup_pacer, warmup_limiter (mark_cold, defer_permits) and placement_coordinator. Time goes in ticks. A
  * keeper gives a turn each SPACING ticks, so that a WINDOW holds two of them. Members change once in a
  * WINDOW at the most, and every entry hears of it within a tick. What entries send that can't ask a
  * keeper isn't modelled: it is a fixed small part of the rate.
--- a/spec/suspects.pml
+++ b/spec/suspects.pml
@@ -1,7 +1,7 @@
 /* A request that ends every target which runs it reaches no more than MOST of them, sent by entries
  * in touch later than CONTACT ticks after the third end, whatever happens to the log and to the entries.
  *
- * It stands for: suspect_table, suspect_log, suspect_exchange and target_ends. Time goes in ticks of
+ * It stands for: suspect_table, suspect_log, suspect_exchange and target_crash_detector. Time goes in ticks of
  * about a second. Ends are numbered, and what is known of them is a set of bits. An entry that sees an end
  * has it in the log within the tick if the log answers, else in hand until it does; so does whoever it told.
  * An entry is in touch if it has run, and the log has answered, for CONTACT ticks. A process that is
--- a/src/roles/gateway/entry_rollouts.hpp
+++ b/src/roles/gateway/entry_rollouts.hpp
@@ -11,56 +11,56 @@
 
 namespace wrenswitch {
 
-/// All roll-outs as this entry carries them out: one gate for each service with an order. A service
-/// without one costs a look-up in an empty map.
-class entry_rollouts {
+/// The rollouts that this gateway carries out: one rollout_gate for each service with an order. A
+/// service without an order costs a lookup in an empty map.
+class rollout_gates {
 public:
-    entry_rollouts(double exposed_share, metrics& counters);
+    rollout_gates(double exposed_share, metrics& counters);
 
-    /// The versions of earlier orders of the service that get nothing under this one.
+    /// The versions of the service's earlier orders that get no requests under this order.
     version_set excluded_by(const rollout_order& order) const;
 
-    /// The operator ordered a roll-out, or changed the order. `in_force` says that all targets of
-    /// the service were of the version before. True if it is news.
-    bool ordered(instant now, const rollout_order& order, bool in_force = false);
+    /// The operator ordered a rollout or changed the order. `already_deployed` is true if all
+    /// targets of the service ran the version before the order. Returns true if the order is new.
+    bool on_order(instant now, const rollout_order& order, bool already_deployed = false);
 
-    /// The order was withdrawn: as if it were rolled back.
-    void withdrawn(instant now, std::string_view service);
+    /// The order was withdrawn, which has the effect of a rollback.
+    void on_withdrawal(instant now, std::string_view service);
 
-    /// What the log of roll-outs holds of a service.
-    void recorded(instant now, const rollout_record& record);
+    /// Applies a record of the rollout log.
+    void on_record(instant now, const rollout_record& record);
 
-    /// The decider's word.
-    void told(instant now, const rollout_directive& stand);
+    /// Applies a directive of the decider.
+    void on_directive(instant now, const rollout_directive& directive);
 
-    /// The gate of a service, or null if it isn't rolled out.
+    /// The gate of a service, or null if it has no order.
     rollout_gate* gate_of(std::string_view service);
 
-    /// The orders that this process knows, newest of each service.
+    /// The newest order of each service that this process knows.
     std::vector<rollout_order> orders() const;
 
-    /// What the decider is to be told of each roll-out that hasn't ended.
-    struct told_evidence {
+    /// This process's report on a rollout that hasn't ended, for the decider.
+    struct local_report {
         rollout_report report;
         const rollout_evidence& evidence;
         rollout_phase phase = rollout_phase::waiting;
     };
-    std::vector<told_evidence> reports(instant now) const;
+    std::vector<local_report> reports(instant now) const;
 
-    /// Brings the gauges up to date, and says what was found.
-    void observe(instant now);
+    /// Updates the gauges and logs versions that were found bad.
+    void update_metrics(instant now);
 
 private:
-    void tell_found_bad(instant now, const rollout_gate& gate);
-    void tell_phase(instant now, const rollout_gate& gate, std::string_view cause) const;
+    void log_found_bad(instant now, const rollout_gate& gate);
+    void log_phase(instant now, const rollout_gate& gate, std::string_view cause) const;
     void apply_record(instant now, rollout_gate& gate, const rollout_record& record) const;
 
     double exposed_share_;
     metrics& counters_;
     std::map<std::string, rollout_gate, std::less<>> gates_;
-    /// The orders of which was told that their version was found bad here.
-    std::map<std::string, std::uint64_t, std::less<>> told_bad_;
-    /// The log's records, which may come before the orders that they are of.
+    /// For each service, the order whose version was logged as found bad here.
+    std::map<std::string, std::uint64_t, std::less<>> logged_bad_;
+    /// Records of the rollout log, which may arrive before their orders.
     rollout_table records_;
 };
 
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -48,8 +48,8 @@
     suspicion_.record_activity(now);
     if (head.status != status_misdirected) {
         // With status 421 another target has the address, and the headers describe that one.
-        context_.signals.heard(now, incarnation_, sent_at_, request_.id,
-                               context_.dialect.read_signals(head));
+        context_.signals.on_response(now, incarnation_, sent_at_, request_.id,
+                                     context_.dialect.read_signals(head));
     }
     context_.counters.histogram("gateway_target_ms").observe(now - sent_at_);
     if (!engine_request_) {
@@ -117,12 +117,12 @@
     const bool is_first = stream_timing_.event_count() == 0;
     const microseconds gap = stream_timing_.record_events(now, count);
     if (is_first) {
-        context_.placements.first_event(engine_attempt_);
+        context_.placements.record_first_event(engine_attempt_);
         rollout_.record_first_event(now);
         return;
     }
     if (const std::optional<microseconds> span = stream_timing_.take_span()) {
-        context_.placements.next_events(engine_attempt_, *span);
+        context_.placements.record_event_span(engine_attempt_, *span);
         record_engine_contact();
     }
     context_.event_gaps.observe(gap);
@@ -140,7 +140,7 @@
     const bool responded_ok = response_head_.status < first_server_error || target_refused_;
     if (cancelled_) {
         suspicion_.record_abandonment(monotonic_now());
-        end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
+        end_attempt(attempt_outcome::abandoned, rollout_gate::outcome::inconclusive);
         finish_cancellation();
         return;
     }
@@ -150,7 +150,7 @@
     suspicion_.record_response(complete && is_success && !target_refused_);
     const auto attempt_outcome =
         complete ? rollout_gate::outcome::succeeded : rollout_gate::outcome::failed;
-    end_attempt(responded_ok ? run_end::answered_well : run_end::answered_badly,
+    end_attempt(responded_ok ? attempt_outcome::succeeded : attempt_outcome::error_response,
                 target_refused_ ? rollout_gate::outcome::inconclusive : attempt_outcome);
     context_.targets.on_response(monotonic_now(), target_, responded_ok);
     if (target_refused_) {
@@ -214,13 +214,13 @@
     finish("served", response_head_.status);
 }
 
-void forwarded_request::end_attempt(run_end end, rollout_gate::outcome rollout_outcome) {
+void forwarded_request::end_attempt(attempt_outcome end, rollout_gate::outcome rollout_outcome) {
     upstream_call_.reset();
     rollout_.end_attempt(rollout_outcome, stream_timing_.mean_event_interval());
     context_.targets.on_finished(target_);
-    const placed_run attempt = std::exchange(engine_attempt_, {});
-    if (attempt.number != 0) {
-        context_.placements.ended(attempt, end);
+    const placed_attempt attempt = std::exchange(engine_attempt_, {});
+    if (attempt.id != 0) {
+        context_.placements.end_attempt(attempt, end);
     }
 }
 
@@ -234,7 +234,7 @@
         suspicion_.record_connection_failure(monotonic_now(), failure);
     }
     end_attempt(
-        cancelled_ ? run_end::left : run_end::failed,
+        cancelled_ ? attempt_outcome::abandoned : attempt_outcome::failed,
         is_inconclusive ? rollout_gate::outcome::inconclusive : rollout_gate::outcome::failed);
     if (cancelled_) {
         if (failure != upstream_failure::cut_short) {
@@ -306,7 +306,7 @@
     }
     const bool sent = upstream_call_->sent();
     suspicion_.record_abandonment(monotonic_now());
-    end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
+    end_attempt(attempt_outcome::abandoned, rollout_gate::outcome::inconclusive);
     if (sent) {
         history_.record_possible_run();
         charge_unobserved_output();
@@ -348,7 +348,7 @@
     const bool sent = upstream_call_ != nullptr && upstream_call_->sent();
     suspicion_.record_abandonment(monotonic_now());
     if (upstream_call_) {
-        end_attempt(run_end::left,
+        end_attempt(attempt_outcome::abandoned,
                     sent ? outcome_at_deadline() : rollout_gate::outcome::inconclusive);
     }
     if (!sent && !history_.may_have_run()) {
@@ -407,7 +407,7 @@
     }
     if (upstream_call_) {
         suspicion_.record_abandonment(monotonic_now());
-        end_attempt(run_end::left, rollout_gate::outcome::inconclusive);
+        end_attempt(attempt_outcome::abandoned, rollout_gate::outcome::inconclusive);
     }
     finish("caller_gone", 0);
 }
--- a/src/roles/gateway/forwarded_choice.cpp
+++ b/src/roles/gateway/forwarded_choice.cpp
@@ -65,7 +65,7 @@
     const unsigned placement_number = ++placement_count_;
     auto handle = context_.placements.place(
         admitted_.service, *engine_request_, excluded_targets(), time_left(),
-        [self = weak_from_this()](const target_choice& chosen, const placed_run& attempt) {
+        [self = weak_from_this()](const target_choice& chosen, const placed_attempt& attempt) {
             if (const auto alive = self.lock()) {
                 alive->on_target_chosen(chosen, attempt);
             }
@@ -104,7 +104,8 @@
     return {allowed_permit_wait_, leave_permit ? base_permit_wait() : microseconds(0)};
 }
 
-void forwarded_request::on_target_chosen(const target_choice& choice, const placed_run& attempt) {
+void forwarded_request::on_target_chosen(const target_choice& choice,
+                                         const placed_attempt& attempt) {
     if (choice.target == nullptr) {
         on_no_target(choice.all_cold);
         return;
@@ -129,7 +130,7 @@
 /// Waits for a send permit: a target that is warming up or advertises a limit gets its requests one
 /// after the other. The wait is known and short enough for a response in time, while a refusal
 /// would cost the caller its first attempt.
-void forwarded_request::wait_for_permit(const target_choice& choice, const placed_run& attempt,
+void forwarded_request::wait_for_permit(const target_choice& choice, const placed_attempt& attempt,
                                         const send_permit& permit) {
     trace_.add(monotonic_now(), "turn_awaited",
                {{"target", choice.target->id},
@@ -172,15 +173,15 @@
     if (!pending_send_) {
         return;
     }
-    const placed_run attempt = std::move(pending_send_->attempt);
+    const placed_attempt attempt = std::move(pending_send_->attempt);
     pending_send_.reset();
     cancel_placement(attempt);
 }
 
 /// Reports that a chosen engine does not get the request.
-void forwarded_request::cancel_placement(const placed_run& attempt) {
-    if (attempt.number != 0) {
-        context_.placements.ended(attempt, run_end::left);
+void forwarded_request::cancel_placement(const placed_attempt& attempt) {
+    if (attempt.id != 0) {
+        context_.placements.end_attempt(attempt, attempt_outcome::abandoned);
     }
 }
 
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -196,7 +196,7 @@
                 {"available", std::to_string(context_.grants.ungranted(admitted_.account))},
                 {"left_at_most", std::to_string(context_.grants.max_remaining(admitted_.account))},
                 {"limit", std::to_string(context_.grants.limit(admitted_.account))},
-                {"home", context_.tokens.describe_home(reservation_start_, admitted_.account)},
+                {"home", context_.tokens.describe_allocator(reservation_start_, admitted_.account)},
                 {"ledger", context_.describe_ledger()}});
     const auto reservation =
         context_.tokens.reserve(reservation_start_, admitted_.account, max_cost,
@@ -205,11 +205,11 @@
                                         alive->on_reservation_outcome(outcome);
                                     }
                                 });
-    if (!reservation.waiting) {
-        apply_reservation_outcome(reservation.now);
+    if (!reservation.waiting_handle) {
+        apply_reservation_outcome(reservation.outcome);
         return;
     }
-    token_wait_ = reservation.waiting;
+    token_wait_ = reservation.waiting_handle;
     context_.counters.counter("gateway_token_waits_total") += 1;
 }
 
@@ -239,7 +239,7 @@
 /// Sends the request to a target; no other function does. The limits that the target has advertised
 /// since it was chosen are checked here: a request that waited for a permit under a limit of fifty
 /// a second must not be sent under a limit of half a request a second.
-void forwarded_request::send_to(const target_choice& choice, const placed_run& attempt,
+void forwarded_request::send_to(const target_choice& choice, const placed_attempt& attempt,
                                 const send_permit& permit) {
     const gateway_target& target = *choice.target;
     const instant now = monotonic_now();
@@ -252,7 +252,7 @@
         return;
     }
     if (suspicion_.level() == suspicion::quarantined ||
-        !suspicion_.begin_attempt(life_of(target))) {
+        !suspicion_.begin_attempt(incarnation_of(target))) {
         cancel_placement(attempt);
         refuse_suspect();
         return;
@@ -265,7 +265,7 @@
     }
     allowed_permit_wait_ = microseconds(0);
     target_ = target.id;
-    incarnation_ = life_of(target);
+    incarnation_ = incarnation_of(target);
     history_.begin_attempt(target.id);
     response_head_ = message_head{};
     response_body_.clear();
@@ -283,13 +283,13 @@
                 {"unread_prompt", std::to_string(choice.uncached_tokens)},
                 {"copy_from", choice.copy_from == nullptr ? "" : choice.copy_from->id},
                 {"price", describe(choice.price)},
-                {"keeper", attempt.keeper},
-                {"asked_for_us", std::to_string(attempt.asked_for.count())},
+                {"keeper", attempt.coordinator},
+                {"asked_for_us", std::to_string(attempt.selection_time.count())},
                 {"left_ms", millis_text(time_left())}});
     engine_attempt_ = attempt;
     count_by_region("gateway_sent_by_region_total");
     context_.targets.on_sent(target_);
-    context_.signals.sent(now, target_);
+    context_.signals.record_sent(now, target_);
     const std::string_view copy_from =
         choice.copy_from == nullptr ? std::string_view{} : choice.copy_from->address;
     const upstream_request sent =
@@ -338,7 +338,7 @@
     if (try_acquire_retry()) {
         history_.record_possible_run();
         suspicion_.record_abandonment(now);
-        end_attempt(run_end::left, rollout_gate::outcome::failed);
+        end_attempt(attempt_outcome::abandoned, rollout_gate::outcome::failed);
         dispatch();
     }
 }
--- a/src/roles/gateway/forwarded_request.hpp
+++ b/src/roles/gateway/forwarded_request.hpp
@@ -28,7 +28,7 @@
     target_choice choice;
     std::string target;
     std::string copy_from;
-    placed_run attempt;
+    placed_attempt attempt;
     send_permit permit;
 };
 
@@ -66,13 +66,14 @@
     void dispatch();
     void wait_for_versions();
     void choose_target(const version_constraint& versions);
-    void on_target_chosen(const target_choice& choice, const placed_run& attempt);
-    void wait_for_permit(const target_choice& choice, const placed_run& attempt,
+    void on_target_chosen(const target_choice& choice, const placed_attempt& attempt);
+    void wait_for_permit(const target_choice& choice, const placed_attempt& attempt,
                          const send_permit& permit);
     void on_permit_due();
     void cancel_pending_send();
-    void cancel_placement(const placed_run& attempt);
-    void send_to(const target_choice& choice, const placed_run& attempt, const send_permit& permit);
+    void cancel_placement(const placed_attempt& attempt);
+    void send_to(const target_choice& choice, const placed_attempt& attempt,
+                 const send_permit& permit);
     permit_request make_permit_request() const;
     std::vector<std::string> excluded_targets();
     microseconds base_permit_wait() const;
@@ -92,7 +93,7 @@
     void on_piece(std::string_view piece);
     void on_end();
     void on_failed(upstream_failure failure);
-    void end_attempt(run_end end, rollout_gate::outcome rollout_outcome);
+    void end_attempt(attempt_outcome end, rollout_gate::outcome rollout_outcome);
     rollout_gate::outcome outcome_at_deadline() const;
     void on_attempt_unsent();
 
@@ -128,7 +129,7 @@
     admitted_request admitted_;
     instant deadline_{};
     request_charge charge_;
-    std::shared_ptr<token_waiters::handle> token_wait_;
+    std::shared_ptr<token_wait_queue::handle> token_wait_;
 
     /// The target of the current attempt, or empty.
     std::string target_;
@@ -150,7 +151,7 @@
     /// limit.
     std::optional<pending_send> pending_send_;
     /// The current attempt at an engine.
-    placed_run engine_attempt_;
+    placed_attempt engine_attempt_;
     instant sent_at_{};
     stream_timing stream_timing_;
 
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -91,8 +91,8 @@
 
 token_exchange_settings exchange_settings(const gateway_settings& settings) {
     token_exchange_settings exchange;
-    exchange.wait = settings.token_wait;
-    exchange.short_wait = settings.short_token_wait;
+    exchange.wait_timeout = settings.token_wait;
+    exchange.short_wait_timeout = settings.short_token_wait;
     return exchange;
 }
 
@@ -109,8 +109,8 @@
       targets_(pool_settings(settings, allocators_), random_),
       target_list_(targets_, metrics_,
                    {dialect.read_target, [this](const std::string& id) { pools_.erase(id); },
-                    [this](const std::string& id) { crashes_.unlisted(id); },
-                    [this](const std::string& id) { crashes_.restarted(id); }}),
+                    [this](const std::string& id) { crashes_.on_unlisted(id); },
+                    [this](const std::string& id) { crashes_.on_restarted(id); }}),
       coordinators_(allocators_, engine_regions(settings, targets_)),
       lag_monitor_(
           loop, [this] { return context_->active_requests.size(); },
@@ -120,7 +120,7 @@
       retries_(settings.retry_share, settings.retry_window, metrics_),
       crashes_(loop, targets_, metrics_,
                {[this](const target_incarnation& incarnation, std::span<const digest> requests) {
-                   suspects_->ended(incarnation, requests);
+                   suspects_->record_crash(incarnation, requests);
                }}) {
     metrics_.gauge("gateway_retry_share") = settings.retry_share;
     metrics_.gauge("gateway_retry_slack") = settings.retry_slack;
@@ -208,7 +208,7 @@
             settings_.host});
     grants_ = std::make_unique<grant_holder>(settings_.host, incarnation_, settings_.grants,
                                              ledger_->table());
-    waiters_ = std::make_unique<token_waiters>(*grants_);
+    waiters_ = std::make_unique<token_wait_queue>(*grants_);
 }
 
 void gateway::open_exchanges() {
@@ -243,7 +243,7 @@
             [this] { ledger_->append_if_due(); }, [this] { return ledger_->live() && !stopping_; },
             [this] { return grant_log_reachable_; }, [this] { return link_.is_full(); },
             [this](const std::string& host) { on_peer_unresponsive(host); }});
-    desk_ = std::make_unique<placement_desk>(targets_, coordinators_, metrics_);
+    desk_ = std::make_unique<placement_coordinator>(targets_, coordinators_, metrics_);
     placements_ = std::make_unique<placement_exchange>(
         loop_, *bus_, targets_, coordinators_, *desk_, metrics_,
         placement_exchange::hooks{
@@ -294,7 +294,7 @@
         *grants_,
         *tokens_,
         *placements_,
-        rollouts_.entry(),
+        rollouts_.gates(),
         retries_,
         *suspects_,
         crashes_,
@@ -442,7 +442,7 @@
         apply_evacuation_record(*emptied, record);
         return;
     }
-    if (rollouts_.configuration_changed(monotonic_now(), record) ||
+    if (rollouts_.on_configuration_record(monotonic_now(), record) ||
         record.key != dialect_.configuration_key || !record.value) {
         return;
     }
@@ -489,12 +489,12 @@
 
 /// Counts the targets of the old and of the new version. Unknown until the list of targets has been
 /// read. Draining targets count as old ones, since their requests have to end, but not as new ones.
-rollout_target_numbers gateway::count_targets(const rollout_order& order) {
-    rollout_target_numbers numbers;
+rollout_target_counts gateway::count_targets(const rollout_order& order) {
+    rollout_target_counts numbers;
     if (!target_follower_->live()) {
         return numbers;
     }
-    const rollout_gate* gate = rollouts_.entry().gate_of(order.service);
+    const rollout_gate* gate = rollouts_.gates().gate_of(order.service);
     for (const gateway_target& target : targets_.listed()) {
         const bool excluded = gate != nullptr && gate->excluded().contains(target.version);
         if (target.service != order.service || excluded) {
@@ -659,11 +659,11 @@
     grants_->set_append_latency(ledger_->append_time());
     update_isolation();
     update_region_outages();
-    tokens_->open_ways();
-    tokens_->return_free(now);
+    tokens_->connect_to_allocators();
+    tokens_->return_free_tokens(now);
     ledger_->append_if_due();
     waiters_->serve(now);
-    desk_->drop_lapsed(now);
+    desk_->drop_expired(now);
     retries_.tick(now);
     crashes_.tick(now);
     signals_->tick(now);
--- a/src/roles/gateway/gateway.hpp
+++ b/src/roles/gateway/gateway.hpp
@@ -59,7 +59,7 @@
     void configuration_changed(const keyed_record& record);
     void apply_evacuation_record(const std::string& failure_domain, const keyed_record& record);
     gateway_rollouts::hooks rollout_hooks();
-    rollout_target_numbers count_targets(const rollout_order& order);
+    rollout_target_counts count_targets(const rollout_order& order);
     void on_orders_read();
     void apply_configuration();
     void open_suspects();
@@ -97,7 +97,7 @@
     std::unique_ptr<keyed_follower> target_follower_;
     std::unique_ptr<grant_ledger> ledger_;
     std::unique_ptr<grant_holder> grants_;
-    std::unique_ptr<token_waiters> waiters_;
+    std::unique_ptr<token_wait_queue> waiters_;
     std::unique_ptr<member_directory> members_;
     token_allocator_selector allocators_;
     region_outage_detector region_outages_;
@@ -111,12 +111,12 @@
     engine_coordinators coordinators_;
     loop_lag_monitor lag_monitor_;
     link_congestion_detector link_;
-    std::unique_ptr<placement_desk> desk_;
+    std::unique_ptr<placement_coordinator> desk_;
     std::unique_ptr<placement_exchange> placements_;
     gateway_rollouts rollouts_;
     service_retry_budgets retries_;
     std::unique_ptr<suspect_exchange> suspects_;
-    target_ends crashes_;
+    target_crash_detector crashes_;
     std::unique_ptr<signal_exchange> signals_;
     isolation_detector isolation_;
     bool was_isolated_ = false;
--- a/src/roles/gateway/gateway_context.hpp
+++ b/src/roles/gateway/gateway_context.hpp
@@ -45,10 +45,10 @@
     grant_holder& grants;
     token_exchange& tokens;
     placement_exchange& placements;
-    entry_rollouts& rollouts;
+    rollout_gates& rollouts;
     service_retry_budgets& retries;
     suspect_exchange& suspects;
-    target_ends& crashes;
+    target_crash_detector& crashes;
     signal_exchange& signals;
     priority_tracker& priorities;
     random_source& random;
--- a/src/roles/gateway/gateway_rollouts.hpp
+++ b/src/roles/gateway/gateway_rollouts.hpp
@@ -13,38 +13,40 @@
 
 namespace wrenswitch {
 
-/// The roll-outs of one gateway: it reads the operators' orders and keeps what carries them out.
+/// The rollout part of a gateway: reads the operators' orders and owns the gates, the ledger and
+/// the exchange that carry them out.
 class gateway_rollouts {
 public:
     struct hooks {
-        /// True if all targets of the service were of this version before the order came, but for
-        /// those of the versions that are excluded.
-        std::function<bool(const rollout_order& order, const version_set& excluded)> in_force;
+        /// True if all targets of the service ran this version before the order arrived, not
+        /// counting those of the excluded versions.
+        std::function<bool(const rollout_order& order, const version_set& excluded)>
+            is_already_deployed;
         /// A service has a new order.
-        std::function<void(const std::string& service)> ordered;
-        /// How many targets of the old and of the new version are listed.
-        std::function<rollout_target_numbers(const rollout_order& order)> targets_of;
-        /// The log of roll-outs was lost or regained.
-        std::function<void(bool reachable)> reachable;
+        std::function<void(const std::string& service)> on_order;
+        /// The numbers of listed targets with the old and with the new version.
+        std::function<rollout_target_counts(const rollout_order& order)> count_targets;
+        /// The rollout log became unreachable or reachable again.
+        std::function<void(bool reachable)> log_reachable;
     };
 
     gateway_rollouts(const gateway_dialect& dialect, double exposed_share, metrics& counters,
                      hooks needs);
 
-    /// Opens the ways to the log and to other processes, which must outlive this. Nothing is sent
-    /// before the first order.
+    /// Connects to the log and to other processes, all of which must outlive this object. Nothing
+    /// is sent before the first order.
     void open(event_loop& loop, keyed_log& log, message_bus& bus,
               const token_allocator_selector& members, incarnation_id own);
 
-    entry_rollouts& entry() { return entry_; }
+    rollout_gates& gates() { return gates_; }
 
-    /// Takes in a record of the configuration's log. False if it isn't an order.
-    bool configuration_changed(instant now, const keyed_record& record);
+    /// Applies a record of the configuration log. False if it isn't an order.
+    bool on_configuration_record(instant now, const keyed_record& record);
 
     /// To be called several times a second.
     void tick(instant now);
 
-    /// Takes a message. False if it isn't of roll-outs.
+    /// Handles a message. False if it isn't about rollouts.
     bool on_message(const message_origin& origin, const wire::Envelope& message) {
         return exchange_ != nullptr && exchange_->on_message(origin, message);
     }
@@ -54,7 +56,7 @@
     double exposed_share_;
     metrics& counters_;
     hooks hooks_;
-    entry_rollouts entry_;
+    rollout_gates gates_;
     std::unique_ptr<rollout_ledger> ledger_;
     std::unique_ptr<rollout_exchange> exchange_;
 };
--- a/src/roles/gateway/keeper_reach.cpp
+++ b/src/roles/gateway/keeper_reach.cpp
@@ -8,71 +8,74 @@
 namespace wrenswitch {
 namespace {
 
-/// A keeper that has said nothing for this long after an ask is out of reach: some times what a
-/// lost packet takes to be sent again.
-constexpr microseconds longest_silence = milliseconds(300);
+/// A coordinator that sends nothing for this long after a query is reported as lost. This is a few
+/// times the retransmission time of a lost packet.
+constexpr microseconds loss_timeout = milliseconds(300);
 
 }  // namespace
 
-keeper_reach::keeper_reach(event_loop& loop, metrics& counters, hooks needs)
+coordinator_monitor::coordinator_monitor(event_loop& loop, metrics& counters, hooks needs)
     : loop_(loop), counters_(counters), hooks_(std::move(needs)) {}
 
-keeper_reach::~keeper_reach() {
+coordinator_monitor::~coordinator_monitor() {
     *alive_ = false;
 }
 
-void keeper_reach::answered(const cluster_member& keeper, instant asked) {
+void coordinator_monitor::on_reply(const cluster_member& coordinator, instant sent_at) {
     const instant now = monotonic_now();
-    heard_[keeper.host] = now;
-    answered_ask_ = std::max(answered_ask_, asked);
-    silent_.erase(keeper.host);
-    hooks_.keeper_answered(keeper.host);
-    hooks_.answered_after(keeper, now - asked);
+    last_reply_[coordinator.host] = now;
+    latest_answered_query_ = std::max(latest_answered_query_, sent_at);
+    unresponsive_.erase(coordinator.host);
+    hooks_.coordinator_responded(coordinator.host);
+    hooks_.round_trip_measured(coordinator, now - sent_at);
 }
 
-void keeper_reach::answered_late(std::uint64_t run) {
-    if (const auto late = late_.extract(run); !late.empty()) {
-        answered(late.mapped().keeper, late.mapped().asked);
+void coordinator_monitor::on_late_reply(std::uint64_t attempt) {
+    if (const auto late = late_queries_.extract(attempt); !late.empty()) {
+        on_reply(late.mapped().coordinator, late.mapped().sent_at);
     }
 }
 
-void keeper_reach::no_answer(std::uint64_t run, const cluster_member& keeper, instant asked) {
-    watch(keeper, asked);
-    remember_late(run, keeper, asked);
+void coordinator_monitor::on_timeout(std::uint64_t attempt, const cluster_member& coordinator,
+                                     instant sent_at) {
+    start_loss_timer(coordinator, sent_at);
+    track_late_query(attempt, coordinator, sent_at);
 }
 
-void keeper_reach::watch(const cluster_member& keeper, instant asked) {
-    const std::string& host = keeper.host;
-    const auto heard = heard_.find(host);
-    const bool answered_since = heard != heard_.end() && heard->second >= asked;
-    if (answered_since || !silent_.insert(host).second) {
+void coordinator_monitor::start_loss_timer(const cluster_member& coordinator, instant sent_at) {
+    const std::string& host = coordinator.host;
+    const auto last_reply = last_reply_.find(host);
+    const bool answered_since = last_reply != last_reply_.end() && last_reply->second >= sent_at;
+    if (answered_since || !unresponsive_.insert(host).second) {
         return;
     }
-    const microseconds longest = longest_silence + hooks_.round_trip(keeper);
-    const instant due = monotonic_now() + longest;
-    loop_.call_after(longest, [this, host, asked, due, alive = alive_] {
+    const microseconds timeout = loss_timeout + hooks_.round_trip(coordinator);
+    const instant due = monotonic_now() + timeout;
+    loop_.call_after(timeout, [this, host, sent_at, due, alive = alive_] {
         if (!*alive) {
             return;
         }
-        // The answer may lie unread in a process that is this late itself.
-        const bool late = monotonic_now() - due > late_timer_threshold;
-        if (silent_.erase(host) > 0 && !late) {
+        // The reply may be waiting unread because this process itself is behind.
+        const bool delayed_here = monotonic_now() - due > late_timer_threshold;
+        if (unresponsive_.erase(host) > 0 && !delayed_here) {
             counters_.counter("placement_keepers_silent_total") += 1;
-            hooks_.keeper_silent(host, answered_ask_ > asked);
+            hooks_.coordinator_unresponsive(host, latest_answered_query_ > sent_at);
         }
     });
 }
 
-/// What comes too late from a far keeper still tells how far it is, and that it isn't lost: else a
-/// way that became longer than what is waited for would never be learnt.
-void keeper_reach::remember_late(std::uint64_t run, const cluster_member& keeper, instant asked) {
-    if (hooks_.round_trip(keeper) == microseconds(0)) {
+/// A late reply from a coordinator in another region still updates its round trip time and shows
+/// that it is alive. Without this, a round trip that grew beyond the timeout would never be
+/// measured.
+void coordinator_monitor::track_late_query(std::uint64_t attempt, const cluster_member& coordinator,
+                                           instant sent_at) {
+    if (hooks_.round_trip(coordinator) == microseconds(0)) {
         return;
     }
-    late_.insert_or_assign(run, late_ask{keeper, asked});
-    loop_.call_after(longest_silence, [this, run, alive = alive_] {
+    late_queries_.insert_or_assign(attempt, late_query{coordinator, sent_at});
+    loop_.call_after(loss_timeout, [this, attempt, alive = alive_] {
         if (*alive) {
-            late_.erase(run);
+            late_queries_.erase(attempt);
         }
     });
 }
--- a/src/roles/gateway/keeper_reach.hpp
+++ b/src/roles/gateway/keeper_reach.hpp
@@ -13,62 +13,64 @@
 
 namespace wrenswitch {
 
-/// Which keepers answer this entry, and how far they are. One that let an ask pass its time is
-/// passed over until it says something, and counts as lost if that takes too long.
-class keeper_reach {
+/// Tracks which engine coordinators reply to this gateway and their round trip times. A coordinator
+/// that lets a query time out is skipped until it sends a reply, and is reported as lost if that
+/// takes too long.
+class coordinator_monitor {
 public:
-    /// What a reach needs of its process, as in placement_exchange.
+    /// Callbacks into the process, with the meaning they have in placement_exchange::hooks.
     struct hooks {
-        std::function<void(const std::string& host, bool others_answered)> keeper_silent;
-        std::function<void(const std::string& host)> keeper_answered;
-        std::function<microseconds(const cluster_member& keeper)> round_trip;
-        std::function<void(const cluster_member& keeper, microseconds took)> answered_after;
+        std::function<void(const std::string& host, bool others_answered)> coordinator_unresponsive;
+        std::function<void(const std::string& host)> coordinator_responded;
+        std::function<microseconds(const cluster_member& coordinator)> round_trip;
+        std::function<void(const cluster_member& coordinator, microseconds elapsed)>
+            round_trip_measured;
     };
 
-    /// All that is referred to must outlive this.
-    keeper_reach(event_loop& loop, metrics& counters, hooks needs);
-    ~keeper_reach();
-    keeper_reach(const keeper_reach&) = delete;
-    keeper_reach& operator=(const keeper_reach&) = delete;
+    /// The loop and the metrics must outlive the monitor.
+    coordinator_monitor(event_loop& loop, metrics& counters, hooks needs);
+    ~coordinator_monitor();
+    coordinator_monitor(const coordinator_monitor&) = delete;
+    coordinator_monitor& operator=(const coordinator_monitor&) = delete;
 
-    /// The way to a keeper and back; zero if it is near.
-    microseconds round_trip(const cluster_member& keeper) const {
-        return hooks_.round_trip(keeper);
+    /// The round trip time to a coordinator; zero if it is in this gateway's region.
+    microseconds round_trip(const cluster_member& coordinator) const {
+        return hooks_.round_trip(coordinator);
     }
 
-    bool is_silent(const std::string& host) const { return silent_.contains(host); }
-    const std::set<std::string>& silent() const { return silent_; }
+    bool is_unresponsive(const std::string& host) const { return unresponsive_.contains(host); }
+    const std::set<std::string>& unresponsive() const { return unresponsive_; }
 
-    /// An ask that went out at this instant was answered in time.
-    void answered(const cluster_member& keeper, instant asked);
+    /// A reply arrived in time to a query that was sent at `sent_at`.
+    void on_reply(const cluster_member& coordinator, instant sent_at);
 
-    /// The answer to an ask came after it was given up.
-    void answered_late(std::uint64_t run);
+    /// A reply arrived after its query had timed out.
+    void on_late_reply(std::uint64_t attempt);
 
-    /// An ask passed its time.
-    void no_answer(std::uint64_t run, const cluster_member& keeper, instant asked);
+    /// A query timed out.
+    void on_timeout(std::uint64_t attempt, const cluster_member& coordinator, instant sent_at);
 
 private:
-    struct late_ask {
-        cluster_member keeper;
-        instant asked{};
+    struct late_query {
+        cluster_member coordinator;
+        instant sent_at{};
     };
 
-    void watch(const cluster_member& keeper, instant asked);
-    void remember_late(std::uint64_t run, const cluster_member& keeper, instant asked);
+    void start_loss_timer(const cluster_member& coordinator, instant sent_at);
+    void track_late_query(std::uint64_t attempt, const cluster_member& coordinator,
+                          instant sent_at);
 
     event_loop& loop_;
     metrics& counters_;
     hooks hooks_;
-    /// Keepers that let an ask pass its time and have said nothing since.
-    std::set<std::string> silent_;
-    /// Asks that passed their time, for as long as their answers may still tell how far a keeper
-    /// is.
-    std::map<std::uint64_t, late_ask> late_;
-    /// When the latest ask that was answered went out.
-    instant answered_ask_{};
-    /// When each keeper last answered.
-    std::map<std::string, instant> heard_;
+    /// Hosts of coordinators that let a query time out and have sent nothing since.
+    std::set<std::string> unresponsive_;
+    /// Queries that timed out, kept while a reply may still arrive and give a round trip time.
+    std::map<std::uint64_t, late_query> late_queries_;
+    /// When the most recent query that got a reply was sent.
+    instant latest_answered_query_{};
+    /// When the last reply of each coordinator arrived, by host.
+    std::map<std::string, instant> last_reply_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/roles/gateway/near_offer.hpp
+++ b/src/roles/gateway/near_offer.hpp
@@ -9,28 +9,29 @@
 
 namespace wrenswitch {
 
-/// What a keeper of the own region offered while one of another region is asked too. The
-/// engine's place there is held.
-struct near_offer {
-    std::uint64_t run = 0;
+/// An engine that a coordinator in this gateway's region offered. The attempt stays counted at the
+/// engine while a coordinator in another region is queried for a better one.
+struct local_offer {
+    std::uint64_t attempt = 0;
     std::string target;
     std::string copy_from;
-    tokens unread = 0;
-    placement_cost price;
+    tokens uncached_tokens = 0;
+    placement_cost cost;
     microseconds wait{};
-    /// Empty if it was this entry itself.
-    cluster_member keeper;
-    microseconds asked_for{};
+    /// Empty if this process is the coordinator.
+    cluster_member coordinator;
+    microseconds selection_time{};
 };
 
-/// An offer that keeps a choice over a change of the targets.
-near_offer offer_of(std::uint64_t run, const target_choice& choice, const cluster_member& keeper,
-                    microseconds asked_for);
+/// Copies a choice into an offer that remains valid when the target list changes.
+local_offer make_offer(std::uint64_t attempt, const target_choice& choice,
+                       const cluster_member& coordinator, microseconds selection_time);
 
-/// The choice again. Without a target if that is forgotten.
-target_choice choice_of(const near_offer& offer, const target_pool& targets);
+/// Looks the offered choice up in the target list. It has no target if the target is no longer
+/// known.
+target_choice choice_from(const local_offer& offer, const target_pool& targets);
 
-/// The run that holds the engine's place.
-placed_run run_of(const near_offer& offer);
+/// The attempt that is counted at the offered engine.
+placed_attempt attempt_from(const local_offer& offer);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/placed_run.hpp
+++ b/src/roles/gateway/placed_run.hpp
@@ -8,21 +8,22 @@
 
 namespace wrenswitch {
 
-/// A request that was placed at an engine.
-struct placed_run {
-    /// Unique in the fleet; zero if there is no run.
-    std::uint64_t number = 0;
+/// An attempt that was assigned to an engine.
+struct placed_attempt {
+    /// Unique in the fleet; zero if there is no attempt.
+    std::uint64_t id = 0;
     std::string target;
-    /// The host that keeps the engine's load, for logs; empty if this entry chose by itself.
-    std::string keeper;
-    /// Where the keeper is told how the run fares; empty if it is this entry, or nobody.
-    std::string keeper_endpoint;
-    /// Its number at the engine as this entry counts it, or zero if only its own desk does.
-    std::uint64_t counted_here = 0;
-    /// How long the choice took: as old is what it knew of the engine's load.
-    microseconds asked_for{};
-    /// The spans of events that came, which the keeper is told at the end.
-    std::vector<microseconds> spans;
+    /// Host of the engine's coordinator, for logs; empty if this gateway chose without one.
+    std::string coordinator;
+    /// Where progress updates are sent; empty if this process is the coordinator or there is none.
+    std::string coordinator_endpoint;
+    /// The attempt's number in this gateway's target pool, or zero if only its
+    /// placement_coordinator counts the attempt.
+    std::uint64_t local_attempt = 0;
+    /// How long the choice took, which is the age of the load data that it was based on.
+    microseconds selection_time{};
+    /// The spans of events that arrived, reported to the coordinator when the attempt ends.
+    std::vector<microseconds> event_spans;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/placement_codec.cpp
+++ b/src/roles/gateway/placement_codec.cpp
@@ -3,8 +3,8 @@
 namespace wrenswitch {
 namespace {
 
-std::int64_t whole_milliseconds(microseconds length) {
-    return std::chrono::duration_cast<milliseconds>(length).count();
+std::int64_t to_milliseconds(microseconds duration) {
+    return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
 wire::VersionRule to_wire(version_rule rule) {
@@ -30,139 +30,139 @@
     }
 }
 
-void set_limits(const candidate_constraints& limits, wire::PlacementAsk& ask) {
-    if (limits.regions) {
-        ask.set_region_bound(true);
-        for (const std::string& region : *limits.regions) {
-            ask.add_regions(region);
+void set_constraints(const candidate_constraints& constraints, wire::PlacementAsk& query) {
+    if (constraints.regions) {
+        query.set_region_bound(true);
+        for (const std::string& region : *constraints.regions) {
+            query.add_regions(region);
         }
     }
-    const version_constraint& version = limits.version;
-    ask.set_version_rule(to_wire(version.rule));
-    ask.set_version(version.version);
-    ask.set_group_size(version.group_size);
-    ask.set_group_seed(version.group_seed);
+    const version_constraint& version = constraints.version;
+    query.set_version_rule(to_wire(version.rule));
+    query.set_version(version.version);
+    query.set_group_size(version.group_size);
+    query.set_group_seed(version.group_seed);
     for (const std::string& excluded : version.excluded) {
-        ask.add_excluded_versions(excluded);
+        query.add_excluded_versions(excluded);
     }
 }
 
-candidate_constraints limits_from_wire(const wire::PlacementAsk& ask) {
-    candidate_constraints limits;
-    if (ask.region_bound()) {
-        limits.regions.emplace(ask.regions().begin(), ask.regions().end());
+candidate_constraints constraints_from_wire(const wire::PlacementAsk& query) {
+    candidate_constraints constraints;
+    if (query.region_bound()) {
+        constraints.regions.emplace(query.regions().begin(), query.regions().end());
     }
-    limits.version = {from_wire(ask.version_rule()),
-                      ask.version(),
-                      ask.group_size(),
-                      ask.group_seed(),
-                      {ask.excluded_versions().begin(), ask.excluded_versions().end()}};
-    return limits;
+    constraints.version = {from_wire(query.version_rule()),
+                           query.version(),
+                           query.group_size(),
+                           query.group_seed(),
+                           {query.excluded_versions().begin(), query.excluded_versions().end()}};
+    return constraints;
 }
 
 }  // namespace
 
-wire::PlacementAsk to_wire(std::uint64_t run, const std::string& service,
+wire::PlacementAsk to_wire(std::uint64_t attempt, const std::string& service,
                            const engine_request& request, std::span<const std::string> tried,
-                           microseconds left) {
-    wire::PlacementAsk ask;
-    ask.set_run(run);
-    ask.set_service(service);
-    ask.set_prompt(request.prompt.prompt_tokens);
-    ask.set_most_output(request.prompt.max_output);
-    ask.set_guessed_output(request.prompt.output_hint);
-    ask.set_first_event_aim_ms(whole_milliseconds(request.first_event_objective));
-    ask.set_longest_pause_ms(whole_milliseconds(request.max_event_gap));
-    ask.set_left_ms(static_cast<std::uint32_t>(whole_milliseconds(left)));
+                           microseconds remaining) {
+    wire::PlacementAsk query;
+    query.set_run(attempt);
+    query.set_service(service);
+    query.set_prompt(request.prompt.prompt_tokens);
+    query.set_most_output(request.prompt.max_output);
+    query.set_guessed_output(request.prompt.output_hint);
+    query.set_first_event_aim_ms(to_milliseconds(request.first_event_objective));
+    query.set_longest_pause_ms(to_milliseconds(request.max_event_gap));
+    query.set_left_ms(static_cast<std::uint32_t>(to_milliseconds(remaining)));
     for (const prompt_part& part : request.prompt.parts) {
-        wire::PromptPart& told = *ask.add_parts();
-        told.set_id(part.id);
-        told.set_length(part.length);
+        wire::PromptPart& wire_part = *query.add_parts();
+        wire_part.set_id(part.id);
+        wire_part.set_length(part.length);
     }
     for (const std::string& target : tried) {
-        ask.add_tried(target);
+        query.add_tried(target);
     }
-    set_limits(request.constraints, ask);
-    ask.set_way_us(static_cast<std::uint32_t>(request.round_trip.count()));
-    return ask;
+    set_constraints(request.constraints, query);
+    query.set_way_us(static_cast<std::uint32_t>(request.round_trip.count()));
+    return query;
 }
 
-engine_request from_wire(const wire::PlacementAsk& ask, const engine_profile& engine) {
+engine_request from_wire(const wire::PlacementAsk& query, const engine_profile& engine) {
     engine_request request;
-    prompt_profile& shape = request.prompt;
-    shape.prompt_tokens = ask.prompt();
-    shape.max_output = ask.most_output();
-    shape.output_hint = ask.guessed_output();
-    for (const wire::PromptPart& part : ask.parts()) {
-        shape.parts.push_back({part.id(), part.length()});
+    prompt_profile& prompt = request.prompt;
+    prompt.prompt_tokens = query.prompt();
+    prompt.max_output = query.most_output();
+    prompt.output_hint = query.guessed_output();
+    for (const wire::PromptPart& part : query.parts()) {
+        prompt.parts.push_back({part.id(), part.length()});
     }
     request.engine = engine;
-    request.first_event_objective = milliseconds(ask.first_event_aim_ms());
-    request.max_event_gap = milliseconds(ask.longest_pause_ms());
-    request.constraints = limits_from_wire(ask);
-    request.round_trip = microseconds(ask.way_us());
+    request.first_event_objective = milliseconds(query.first_event_aim_ms());
+    request.max_event_gap = milliseconds(query.longest_pause_ms());
+    request.constraints = constraints_from_wire(query);
+    request.round_trip = microseconds(query.way_us());
     return request;
 }
 
-wire::PlacementAnswer to_wire(std::uint64_t run, const target_choice& choice) {
-    wire::PlacementAnswer answer;
-    answer.set_run(run);
-    answer.set_all_cold(choice.all_cold);
+wire::PlacementAnswer to_wire(std::uint64_t attempt, const target_choice& choice) {
+    wire::PlacementAnswer reply;
+    reply.set_run(attempt);
+    reply.set_all_cold(choice.all_cold);
     if (choice.target == nullptr) {
-        return answer;
+        return reply;
     }
-    answer.set_target(choice.target->id);
-    answer.set_copy_from(choice.copy_from == nullptr ? "" : choice.copy_from->id);
-    answer.set_unread(choice.uncached_tokens);
-    answer.set_first_event_ms(static_cast<float>(choice.price.first_event_ms));
-    answer.set_backlog_ms(static_cast<float>(choice.price.backlog_ms));
-    answer.set_pause_ms(static_cast<float>(choice.price.pause_ms));
-    answer.set_lost_here(static_cast<float>(choice.price.own_cost));
-    answer.set_lost_beside(static_cast<float>(choice.price.stream_cost));
-    answer.set_sum(static_cast<float>(choice.price.total));
-    answer.set_wait_us(static_cast<std::uint32_t>(choice.wait.count()));
-    return answer;
+    reply.set_target(choice.target->id);
+    reply.set_copy_from(choice.copy_from == nullptr ? "" : choice.copy_from->id);
+    reply.set_unread(choice.uncached_tokens);
+    reply.set_first_event_ms(static_cast<float>(choice.price.first_event_ms));
+    reply.set_backlog_ms(static_cast<float>(choice.price.backlog_ms));
+    reply.set_pause_ms(static_cast<float>(choice.price.pause_ms));
+    reply.set_lost_here(static_cast<float>(choice.price.own_cost));
+    reply.set_lost_beside(static_cast<float>(choice.price.stream_cost));
+    reply.set_sum(static_cast<float>(choice.price.total));
+    reply.set_wait_us(static_cast<std::uint32_t>(choice.wait.count()));
+    return reply;
 }
 
-target_choice from_wire(const wire::PlacementAnswer& answer, const target_pool& targets) {
+target_choice from_wire(const wire::PlacementAnswer& reply, const target_pool& targets) {
     target_choice choice;
-    choice.target = targets.find(answer.target());
-    choice.copy_from = answer.copy_from().empty() ? nullptr : targets.find(answer.copy_from());
-    choice.uncached_tokens = answer.unread();
-    choice.price.first_event_ms = answer.first_event_ms();
-    choice.price.backlog_ms = answer.backlog_ms();
-    choice.price.pause_ms = answer.pause_ms();
-    choice.price.own_cost = answer.lost_here();
-    choice.price.stream_cost = answer.lost_beside();
-    choice.price.total = answer.sum();
-    choice.wait = microseconds(answer.wait_us());
+    choice.target = targets.find(reply.target());
+    choice.copy_from = reply.copy_from().empty() ? nullptr : targets.find(reply.copy_from());
+    choice.uncached_tokens = reply.unread();
+    choice.price.first_event_ms = reply.first_event_ms();
+    choice.price.backlog_ms = reply.backlog_ms();
+    choice.price.pause_ms = reply.pause_ms();
+    choice.price.own_cost = reply.lost_here();
+    choice.price.stream_cost = reply.lost_beside();
+    choice.price.total = reply.sum();
+    choice.wait = microseconds(reply.wait_us());
     return choice;
 }
 
-wire::RunEnd to_wire(run_end how) {
-    switch (how) {
-        case run_end::left:
+wire::RunEnd to_wire(attempt_outcome outcome) {
+    switch (outcome) {
+        case attempt_outcome::abandoned:
             return wire::RUN_LEFT;
-        case run_end::answered_well:
+        case attempt_outcome::succeeded:
             return wire::RUN_ANSWERED_WELL;
-        case run_end::answered_badly:
+        case attempt_outcome::error_response:
             return wire::RUN_ANSWERED_BADLY;
-        case run_end::failed:
+        case attempt_outcome::failed:
             return wire::RUN_FAILED;
     }
     return wire::RUN_LEFT;
 }
 
-run_end from_wire(wire::RunEnd how) {
-    switch (how) {
+attempt_outcome from_wire(wire::RunEnd outcome) {
+    switch (outcome) {
         case wire::RUN_ANSWERED_WELL:
-            return run_end::answered_well;
+            return attempt_outcome::succeeded;
         case wire::RUN_ANSWERED_BADLY:
-            return run_end::answered_badly;
+            return attempt_outcome::error_response;
         case wire::RUN_FAILED:
-            return run_end::failed;
+            return attempt_outcome::failed;
         default:
-            return run_end::left;
+            return attempt_outcome::abandoned;
     }
 }
 
--- a/src/roles/gateway/placement_codec.hpp
+++ b/src/roles/gateway/placement_codec.hpp
@@ -12,21 +12,21 @@
 
 namespace wrenswitch {
 
-/// What an entry asks a keeper, with how long the caller still waits.
-wire::PlacementAsk to_wire(std::uint64_t run, const std::string& service,
+/// Encodes a query to a coordinator. `remaining` is the time until the caller's deadline.
+wire::PlacementAsk to_wire(std::uint64_t attempt, const std::string& service,
                            const engine_request& request, std::span<const std::string> tried,
-                           microseconds left);
+                           microseconds remaining);
 
-/// What a keeper was asked, for engines of this kind.
-engine_request from_wire(const wire::PlacementAsk& ask, const engine_profile& engine);
+/// Decodes a query for engines with this profile.
+engine_request from_wire(const wire::PlacementAsk& query, const engine_profile& engine);
 
-/// A keeper's choice, which may be none.
-wire::PlacementAnswer to_wire(std::uint64_t run, const target_choice& choice);
+/// Encodes a coordinator's choice, which may have no target.
+wire::PlacementAnswer to_wire(std::uint64_t attempt, const target_choice& choice);
 
-/// A keeper's choice among the targets known here, and what it was made by.
-target_choice from_wire(const wire::PlacementAnswer& answer, const target_pool& targets);
+/// Decodes a coordinator's choice and its costs, with the targets looked up in this process's list.
+target_choice from_wire(const wire::PlacementAnswer& reply, const target_pool& targets);
 
-wire::RunEnd to_wire(run_end how);
-run_end from_wire(wire::RunEnd how);
+wire::RunEnd to_wire(attempt_outcome outcome);
+attempt_outcome from_wire(wire::RunEnd outcome);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/placement_desk.cpp
+++ b/src/roles/gateway/placement_desk.cpp
@@ -9,23 +9,25 @@
 namespace wrenswitch {
 namespace {
 
-/// How long a run is counted beyond the time that its caller had: longer than its end takes to be
-/// told.
+/// How long an attempt stays counted beyond its caller's deadline; longer than the update on its
+/// end takes to arrive.
 constexpr microseconds lease_slack = seconds(1);
 
-/// No run is counted for longer, whatever an asker says.
-constexpr microseconds longest_lease = seconds(600);
+/// Upper bound of a lease, whatever time the querying gateway states.
+constexpr microseconds max_lease = seconds(600);
 
 }  // namespace
 
-placement_desk::placement_desk(target_pool& targets, engine_coordinators& keepers,
-                               metrics& counters)
-    : targets_(targets), keepers_(keepers), counters_(counters) {}
+placement_coordinator::placement_coordinator(target_pool& targets,
+                                             engine_coordinators& coordinators, metrics& counters)
+    : targets_(targets), coordinators_(coordinators), counters_(counters) {}
 
-target_choice placement_desk::place(instant now, std::uint64_t run, const std::string& service,
-                                    const engine_request& request,
-                                    std::span<const std::string> tried, microseconds left) {
-    note_keepers(now);
+target_choice placement_coordinator::place(instant now, std::uint64_t attempt,
+                                           const std::string& service,
+                                           const engine_request& request,
+                                           std::span<const std::string> tried,
+                                           microseconds remaining) {
+    track_assignments(now);
     const target_choice choice = targets_.pick_engine(
         now, service, request, tried,
         [this, now](std::string_view engine) { return may_offer(now, engine); },
@@ -36,89 +38,95 @@
     }
     const std::string& target = choice.target->id;
     const bool sent_now = choice.wait == microseconds(0);
-    const std::uint64_t number =
+    const std::uint64_t pool_attempt =
         targets_.begin_attempt(now, target, request, choice.uncached_tokens, sent_now);
-    runs_.insert_or_assign(
-        run, kept_run{target, number, now + std::min(left, longest_lease) + lease_slack});
+    attempts_.insert_or_assign(
+        attempt,
+        counted_attempt{target, pool_attempt, now + std::min(remaining, max_lease) + lease_slack});
     counters_.counter("placements_total") += 1;
     return choice;
 }
 
-/// A cold engine is only offered by the one that every entry has as its keeper: after a loss of
-/// power two entries that took each other for lost gave it 21 turns in a second where it bears 9.6.
-bool placement_desk::may_offer(instant now, std::string_view engine) {
+/// A cold engine is offered only by the coordinator that every gateway agrees on. After a power
+/// loss, two processes that each took the other for lost sent a cold engine 21 requests in one
+/// second where its warm-up allows 9.6.
+bool placement_coordinator::may_offer(instant now, std::string_view engine) {
     const bool cold = targets_.is_cold(now, engine);
-    return cold ? keepers_.coordinates_exclusively(now, engine) : keepers_.coordinates(now, engine);
+    return cold ? coordinators_.coordinates_exclusively(now, engine)
+                : coordinators_.coordinates(now, engine);
 }
 
-/// An engine that was another entry's may have had turns from that one until now.
-void placement_desk::note_keepers(instant now) {
-    const std::uint64_t changes = keepers_.assignment_version(now);
-    if (changes != seen_keepers_) {
-        seen_keepers_ = changes;
+/// An engine that had another coordinator may have been given send permits by it until now.
+void placement_coordinator::track_assignments(instant now) {
+    const std::uint64_t changes = coordinators_.assignment_version(now);
+    if (changes != seen_assignments_) {
+        seen_assignments_ = changes;
         targets_.defer_cold_permits(now);
     }
 }
 
-const placement_desk::kept_run* placement_desk::find(std::uint64_t run) const {
-    const auto found = runs_.find(run);
-    return found == runs_.end() ? nullptr : &found->second;
+const placement_coordinator::counted_attempt* placement_coordinator::find(
+    std::uint64_t attempt) const {
+    const auto found = attempts_.find(attempt);
+    return found == attempts_.end() ? nullptr : &found->second;
 }
 
-void placement_desk::first_event(instant now, std::uint64_t run) {
-    if (const kept_run* kept = find(run)) {
-        targets_.record_first_event(now, kept->target, kept->number);
+void placement_coordinator::record_first_event(instant now, std::uint64_t attempt) {
+    if (const counted_attempt* counted = find(attempt)) {
+        targets_.record_first_event(now, counted->target, counted->pool_attempt);
     }
 }
 
-void placement_desk::next_events(instant now, std::uint64_t run, microseconds span) {
-    if (const kept_run* kept = find(run)) {
-        targets_.record_event_span(now, kept->target, span);
+void placement_coordinator::record_event_span(instant now, std::uint64_t attempt,
+                                              microseconds span) {
+    if (const counted_attempt* counted = find(attempt)) {
+        targets_.record_event_span(now, counted->target, span);
     }
 }
 
-void placement_desk::ended_elsewhere(instant now, std::uint64_t run, run_end how) {
-    const kept_run* kept = find(run);
-    if (kept == nullptr) {
+void placement_coordinator::end_remote_attempt(instant now, std::uint64_t attempt,
+                                               attempt_outcome outcome) {
+    const counted_attempt* counted = find(attempt);
+    if (counted == nullptr) {
         return;
     }
-    if (how == run_end::failed) {
-        targets_.on_failure(now, kept->target);
-    } else if (how != run_end::left) {
-        targets_.on_response(now, kept->target, how == run_end::answered_well);
+    if (outcome == attempt_outcome::failed) {
+        targets_.on_failure(now, counted->target);
+    } else if (outcome != attempt_outcome::abandoned) {
+        targets_.on_response(now, counted->target, outcome == attempt_outcome::succeeded);
     }
-    ended_here(now, run);
+    end_local_attempt(now, attempt);
 }
 
-void placement_desk::ended_here(instant now, std::uint64_t run) {
-    const auto found = runs_.find(run);
-    if (found != runs_.end()) {
-        targets_.end_attempt(now, found->second.target, found->second.number);
-        runs_.erase(found);
+void placement_coordinator::end_local_attempt(instant now, std::uint64_t attempt) {
+    const auto found = attempts_.find(attempt);
+    if (found != attempts_.end()) {
+        targets_.end_attempt(now, found->second.target, found->second.pool_attempt);
+        attempts_.erase(found);
     }
 }
 
-void placement_desk::take_news(instant now, const wire::RunNewsBatch& batch) {
-    for (const wire::RunNews& news : batch.runs()) {
-        if (news.first_event()) {
-            first_event(now, news.run());
+void placement_coordinator::apply_updates(instant now, const wire::RunNewsBatch& batch) {
+    for (const wire::RunNews& update : batch.runs()) {
+        if (update.first_event()) {
+            record_first_event(now, update.run());
         }
-        for (const std::uint32_t span : news.spans_us()) {
-            next_events(now, news.run(), microseconds(span));
+        for (const std::uint32_t span : update.spans_us()) {
+            record_event_span(now, update.run(), microseconds(span));
         }
-        if (news.end() != wire::RUN_GOES_ON) {
-            ended_elsewhere(now, news.run(), from_wire(news.end()));
+        if (update.end() != wire::RUN_GOES_ON) {
+            end_remote_attempt(now, update.run(), from_wire(update.end()));
         }
     }
 }
 
-void placement_desk::drop_lapsed(instant now) {
-    for (auto it = runs_.begin(); it != runs_.end();) {
-        const auto run = it++;
-        if (run->second.lease_until <= now) {
+void placement_coordinator::drop_expired(instant now) {
+    for (auto it = attempts_.begin(); it != attempts_.end();) {
+        const auto attempt = it++;
+        if (attempt->second.lease_until <= now) {
             counters_.counter("placements_lapsed_total") += 1;
-            targets_.end_attempt(now, run->second.target, run->second.number);
-            runs_.erase(run);
+            targets_.end_attempt(now, attempt->second.target, attempt->second.pool_attempt);
+            attempts_.erase(attempt);
         }
     }
 }
--- a/src/roles/gateway/placement_desk.hpp
+++ b/src/roles/gateway/placement_desk.hpp
@@ -17,71 +17,74 @@
 
 namespace wrenswitch {
 
-/// How a run at an engine ended, for what is believed of the engine.
-enum class run_end {
-    /// It says nothing of the engine: its caller left, or it was never sent.
-    left,
-    answered_well,
-    answered_badly,
-    /// The engine couldn't be reached or broke off.
+/// How an attempt at an engine ended, as far as it bears on the engine's health.
+enum class attempt_outcome {
+    /// Says nothing about the engine: the caller left or the request was never sent.
+    abandoned,
+    succeeded,
+    error_response,
+    /// The engine couldn't be reached or the connection broke.
     failed,
 };
 
-/// What this entry does as the keeper of some engines: it chooses among them for every entry that
-/// asks, counts the request as begun there in the same step, and hears how it fares. Two choices
-/// thus never rest on the same view of an engine, however many entries there are.
-class placement_desk {
+/// Places requests on the engines that this process coordinates, for every gateway that sends a
+/// query. It counts the attempt at the chosen engine in the same step and receives updates on its
+/// progress, so that no two choices use the same view of an engine's load, however many gateways
+/// there are.
+class placement_coordinator {
 public:
-    /// All that is referred to must outlive the desk.
-    placement_desk(target_pool& targets, engine_coordinators& keepers, metrics& counters);
-
-    /// Chooses one of the engines that this entry keeps and counts the run, whose number is unique
-    /// in the fleet, as begun there, for no longer than its caller still waits. Without a target if
-    /// there is none to offer.
-    target_choice place(instant now, std::uint64_t run, const std::string& service,
+    /// All references must outlive the coordinator.
+    placement_coordinator(target_pool& targets, engine_coordinators& coordinators,
+                          metrics& counters);
+
+    /// Chooses one of the engines that this process coordinates and counts the attempt there for at
+    /// most `remaining`, the time until the caller's deadline. The id `attempt` is unique in the
+    /// fleet. The result has no target if no engine can be offered.
+    target_choice place(instant now, std::uint64_t attempt, const std::string& service,
                         const engine_request& request, std::span<const std::string> tried,
-                        microseconds left);
+                        microseconds remaining);
 
-    /// The first event of a run came.
-    void first_event(instant now, std::uint64_t run);
+    /// The attempt's first event arrived.
+    void record_first_event(instant now, std::uint64_t attempt);
 
-    /// A whole span of later events of a run came within this time.
-    void next_events(instant now, std::uint64_t run, microseconds span);
+    /// A full span of later events of the attempt arrived within this time.
+    void record_event_span(instant now, std::uint64_t attempt, microseconds span);
 
-    /// A run that another entry sent has ended; it tells of the engine what that entry saw.
-    void ended_elsewhere(instant now, std::uint64_t run, run_end how);
+    /// An attempt that another gateway sent has ended; the outcome that it saw counts for the
+    /// engine's health.
+    void end_remote_attempt(instant now, std::uint64_t attempt, attempt_outcome outcome);
 
-    /// A run of this entry's own has ended.
-    void ended_here(instant now, std::uint64_t run);
+    /// An attempt that this process sent has ended.
+    void end_local_attempt(instant now, std::uint64_t attempt);
 
-    /// What other entries tell of their runs.
-    void take_news(instant now, const wire::RunNewsBatch& batch);
+    /// Applies the updates that another gateway sent on its attempts.
+    void apply_updates(instant now, const wire::RunNewsBatch& batch);
 
-    /// Ends the runs whose callers have no time left: their entry must be gone.
-    void drop_lapsed(instant now);
+    /// Ends attempts whose lease has expired, because the gateway that sent them is presumed lost.
+    void drop_expired(instant now);
 
-    /// The runs that are counted now.
-    std::size_t runs() const { return runs_.size(); }
+    /// The number of attempts that are counted at engines.
+    std::size_t attempt_count() const { return attempts_.size(); }
 
 private:
-    struct kept_run {
+    struct counted_attempt {
         std::string target;
-        /// Its number at the engine.
-        std::uint64_t number = 0;
-        /// When it is given up if its end isn't told.
+        /// The attempt's number in the target pool.
+        std::uint64_t pool_attempt = 0;
+        /// When the attempt is dropped if no update reports its end.
         instant lease_until{};
     };
 
-    const kept_run* find(std::uint64_t run) const;
+    const counted_attempt* find(std::uint64_t attempt) const;
     bool may_offer(instant now, std::string_view engine);
-    void note_keepers(instant now);
+    void track_assignments(instant now);
 
     target_pool& targets_;
-    engine_coordinators& keepers_;
+    engine_coordinators& coordinators_;
     metrics& counters_;
-    std::map<std::uint64_t, kept_run> runs_;
-    /// The state of the keepers for which turns at cold engines are given.
-    std::uint64_t seen_keepers_ = 0;
+    std::map<std::uint64_t, counted_attempt> attempts_;
+    /// The version of the engine assignment for which send permits at cold engines are issued.
+    std::uint64_t seen_assignments_ = 0;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/placement_exchange.cpp
+++ b/src/roles/gateway/placement_exchange.cpp
@@ -10,50 +10,53 @@
 namespace wrenswitch {
 namespace {
 
-/// How long a keeper's answer is waited for. The way there and back takes some 2 ms; half of that
-/// time again is lost to processes that are busy, and no aim of a route is below some hundreds. The
-/// way to another region comes on top: with 20 ms for one that is 40 ms away each ask was given up,
-/// and two regions' days with trouble lost 0.08 of their worth.
-constexpr microseconds longest_ask = milliseconds(20);
-
-/// The same while engines are cold and this entry has no turn of its own to use instead: longer
-/// than what lies before a message on the link of a small entry, 10 Mbit/s, that has one account's
-/// callers after a loss of all processes. With 20 ms two such entries refused 340 requests in 3 s.
-constexpr microseconds longest_cold_ask = milliseconds(200);
-
-/// How many keepers are asked while engines are cold: each takes some 2 ms, and one that has room
-/// is found among a few.
-constexpr std::size_t most_cold_keepers = 4;
-
-/// A keeper of another region is asked too if this share of a request is expected to be lost at the
-/// best engine of the own region: the word takes the way there and back, and so does the answer.
-constexpr double loss_to_ask_afar = 0.2;
-
-/// A request goes to another region if it loses and costs less than this share there of what it
-/// would in its own, with what is read again: both are estimates, and each is some tens of percent
-/// off.
-constexpr double gain_to_cross = 0.8;
-
-/// An entry that asked another region in vain doesn't ask again for so long: when both are full
-/// each request would wait for nothing and hold two places.
-constexpr microseconds vain_rest = milliseconds(300);
+/// How long a coordinator's reply is awaited. A round trip takes about 2 ms; delays in busy
+/// processes add about half of that, and latency objectives of routes are at least some hundreds of
+/// milliseconds. The round trip to another region is added: with 20 ms in all, every query to a
+/// region 40 ms away timed out, and fault scenarios with two regions lost 0.08 of their
+/// score.
+constexpr microseconds query_timeout = milliseconds(20);
+
+/// The timeout when engines are cold and this gateway has no send permit of its own to fall back
+/// on. It exceeds the queueing delay on a small gateway's 10 Mbit/s link that carries one account's
+/// callers after all processes were lost: with 20 ms two such gateways refused 340 requests in 3 s.
+constexpr microseconds cold_query_timeout = milliseconds(200);
+
+/// How many coordinators are queried while engines are cold. Each query takes about 2 ms, and one
+/// with capacity is found among a few.
+constexpr std::size_t max_cold_coordinators = 4;
+
+/// A coordinator in another region is queried as well if the cost at the best engine of this region
+/// is at least this share of the request's tokens. Both the query and the response then take the
+/// longer round trip.
+constexpr double remote_query_cost_share = 0.2;
+
+/// A request goes to another region only if its cost there, including the repeated prefill, is
+/// below this share of its cost in its own region. Both costs are estimates that are off by some
+/// tens of percent.
+constexpr double max_remote_cost_ratio = 0.8;
+
+/// How long no other region is queried after one offered nothing better. When both regions are
+/// full, each request would otherwise wait in vain and be counted at two engines.
+constexpr microseconds remote_query_backoff = milliseconds(300);
 
 }  // namespace
 
 placement_exchange::placement_exchange(event_loop& loop, message_bus& bus, target_pool& targets,
-                                       engine_coordinators& keepers, placement_desk& desk,
-                                       metrics& counters, hooks needs)
+                                       engine_coordinators& coordinators,
+                                       placement_coordinator& local_coordinator, metrics& counters,
+                                       hooks needs)
     : loop_(loop),
       bus_(bus),
       targets_(targets),
-      keepers_(keepers),
-      desk_(desk),
+      coordinators_(coordinators),
+      local_coordinator_(local_coordinator),
       counters_(counters),
       engine_of_(std::move(needs.engine_of)),
-      reach_(loop, counters,
-             {std::move(needs.keeper_silent), std::move(needs.keeper_answered),
-              std::move(needs.round_trip), std::move(needs.answered_after)}),
-      news_(loop, bus, counters) {}
+      monitor_(loop, counters,
+               {std::move(needs.coordinator_unresponsive), std::move(needs.coordinator_responded),
+                std::move(needs.round_trip), std::move(needs.round_trip_measured)}),
+      updates_(loop, bus, counters) {}
 
 placement_exchange::~placement_exchange() {
     *alive_ = false;
@@ -61,283 +64,298 @@
 
 std::shared_ptr<placement_exchange::handle> placement_exchange::place(
     const std::string& service, const engine_request& request, std::span<const std::string> tried,
-    microseconds left, choice_hook chosen) {
+    microseconds remaining, choice_hook on_chosen) {
     const instant now = monotonic_now();
-    const auto run = static_cast<std::uint64_t>(random_.next_id<incarnation_id>());
-    auto wanted = std::make_shared<handle>();
-    pending_ask wish{
-        service, request, {tried.begin(), tried.end()}, left, std::move(chosen), wanted, {}, now,
-        {},      {}};
-    const std::string_view home = targets_.rendezvous_engine(now, service, request, tried);
-    const std::optional<cluster_member> keeper =
-        home.empty() ? std::nullopt : keepers_.coordinator_of(now, home);
-    if (!keeper || reach_.is_silent(keeper->host)) {
-        wish.keeper = keeper.value_or(cluster_member{});
-        choose_alone(run, std::move(wish));
-        return wanted;
-    }
-    wish.keeper = *keeper;
-    wish.request.round_trip = reach_.round_trip(*keeper);
-    if (keepers_.coordinates(now, home)) {
-        choose_at_own_desk(run, std::move(wish));
+    const auto attempt = static_cast<std::uint64_t>(random_.next_id<incarnation_id>());
+    auto caller_handle = std::make_shared<handle>();
+    pending_query pending{service,
+                          request,
+                          {tried.begin(), tried.end()},
+                          remaining,
+                          std::move(on_chosen),
+                          caller_handle,
+                          {},
+                          now,
+                          {},
+                          {}};
+    const std::string_view session_engine =
+        targets_.rendezvous_engine(now, service, request, tried);
+    const std::optional<cluster_member> coordinator =
+        session_engine.empty() ? std::nullopt : coordinators_.coordinator_of(now, session_engine);
+    if (!coordinator || monitor_.is_unresponsive(coordinator->host)) {
+        pending.coordinator = coordinator.value_or(cluster_member{});
+        choose_locally(attempt, std::move(pending));
+        return caller_handle;
+    }
+    pending.coordinator = *coordinator;
+    pending.request.round_trip = monitor_.round_trip(*coordinator);
+    if (coordinators_.coordinates(now, session_engine)) {
+        choose_as_coordinator(attempt, std::move(pending));
     } else {
-        ask(run, std::move(wish));
+        query(attempt, std::move(pending));
     }
-    return wanted;
+    return caller_handle;
 }
 
-void placement_exchange::ask(std::uint64_t run, pending_ask wish) {
+void placement_exchange::query(std::uint64_t attempt, pending_query pending) {
     wire::Envelope message;
     *message.mutable_placement_ask() =
-        to_wire(run, wish.service, wish.request, wish.tried, wish.left);
-    bus_.send(wish.keeper.endpoint, message);
+        to_wire(attempt, pending.service, pending.request, pending.tried, pending.remaining);
+    bus_.send(pending.coordinator.endpoint, message);
     counters_.counter("placement_asks_total") += 1;
-    wish.asked = monotonic_now();
-    const instant asked = wish.asked;
-    const microseconds longest =
-        (wish.is_last ? longest_cold_ask : longest_ask) + reach_.round_trip(wish.keeper);
-    pending_.insert_or_assign(run, std::move(wish));
-    loop_.call_after(longest, [this, run, asked, alive = alive_] {
+    pending.sent_at = monotonic_now();
+    const instant sent_at = pending.sent_at;
+    const microseconds timeout = (pending.last_query ? cold_query_timeout : query_timeout) +
+                                 monitor_.round_trip(pending.coordinator);
+    queries_.insert_or_assign(attempt, std::move(pending));
+    loop_.call_after(timeout, [this, attempt, sent_at, alive = alive_] {
         if (*alive) {
-            give_up(run, asked);
+            on_timeout(attempt, sent_at);
         }
     });
 }
 
-void placement_exchange::give_up(std::uint64_t run, instant asked) {
-    const auto found = pending_.find(run);
-    if (found == pending_.end() || found->second.asked != asked) {
+void placement_exchange::on_timeout(std::uint64_t attempt, instant sent_at) {
+    const auto found = queries_.find(attempt);
+    if (found == queries_.end() || found->second.sent_at != sent_at) {
         return;
     }
-    pending_ask wish = std::move(found->second);
-    pending_.erase(found);
+    pending_query pending = std::move(found->second);
+    queries_.erase(found);
     counters_.counter("placement_asks_late_total") += 1;
-    reach_.no_answer(run, wish.keeper, wish.asked);
-    if (wish.offer) {
-        use_offer(std::move(wish));
-    } else if (!wish.wanted.expired()) {
-        choose_alone(run, std::move(wish));
+    monitor_.on_timeout(attempt, pending.coordinator, pending.sent_at);
+    if (pending.offer) {
+        use_offer(std::move(pending));
+    } else if (!pending.caller_handle.expired()) {
+        choose_locally(attempt, std::move(pending));
     }
 }
 
-/// The keeper can't be asked: the choice rests on this entry's own runs, and mostly on where the
-/// session's memory is looked for. Cold engines have next to no turns for an entry that doesn't
-/// ask, so that a keeper is asked all the same, and more patiently.
-void placement_exchange::choose_alone(std::uint64_t run, pending_ask wish) {
+/// Used when the coordinator can't be queried: the choice uses the attempts that this gateway knows
+/// of and depends mainly on where the session's cached prefix is expected. For cold engines a
+/// gateway that doesn't query has almost no send permits, so a coordinator is queried all the same,
+/// with a longer timeout.
+void placement_exchange::choose_locally(std::uint64_t attempt, pending_query pending) {
     const instant now = monotonic_now();
-    wish.request.round_trip = microseconds(0);
+    pending.request.round_trip = microseconds(0);
     const target_choice choice = targets_.pick_engine(
-        now, wish.service, wish.request, wish.tried, [](std::string_view) { return true; },
+        now, pending.service, pending.request, pending.tried, [](std::string_view) { return true; },
         permit_share::fallback);
-    if (choice.all_cold && !wish.is_last && !wish.keeper.endpoint.empty() &&
-        wish.keeper.host != keepers_.own_host()) {
-        wish.is_last = true;
-        ask(run, std::move(wish));
+    if (choice.all_cold && !pending.last_query && !pending.coordinator.endpoint.empty() &&
+        pending.coordinator.host != coordinators_.own_host()) {
+        pending.last_query = true;
+        query(attempt, std::move(pending));
         return;
     }
-    placed_run placed{run, {}, {}, {}, 0, now - wish.asked, {}};
+    placed_attempt placed{attempt, {}, {}, {}, 0, now - pending.sent_at, {}};
     if (choice.target != nullptr) {
         counters_.counter("placements_alone_total") += 1;
         placed.target = choice.target->id;
-        placed.counted_here =
-            targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
+        placed.local_attempt = targets_.begin_attempt(now, placed.target, pending.request,
+                                                      choice.uncached_tokens, false);
     }
-    wish.chosen(choice, placed);
+    pending.on_chosen(choice, placed);
 }
 
-void placement_exchange::choose_at_own_desk(std::uint64_t run, pending_ask wish) {
+void placement_exchange::choose_as_coordinator(std::uint64_t attempt, pending_query pending) {
     const target_choice choice =
-        desk_.place(monotonic_now(), run, wish.service, wish.request, wish.tried, wish.left);
+        local_coordinator_.place(monotonic_now(), attempt, pending.service, pending.request,
+                                 pending.tried, pending.remaining);
     if (choice.all_cold) {
-        try_another_keeper(run, std::move(wish));
+        try_another_coordinator(attempt, std::move(pending));
         return;
     }
     if (choice.target == nullptr) {
-        choose_alone(run, std::move(wish));
+        choose_locally(attempt, std::move(pending));
         return;
     }
-    const near_offer offer = offer_of(run, choice, {}, microseconds(0));
-    if (!ask_afar(offer, wish)) {
-        wish.chosen(choice, run_of(offer));
+    const local_offer offer = make_offer(attempt, choice, {}, microseconds(0));
+    if (!query_remote_region(offer, pending)) {
+        pending.on_chosen(choice, attempt_from(offer));
     }
 }
 
-/// Asks a keeper of another region too if the best engine of the own region would lose much of the
-/// request. True if the wish now waits for that.
-bool placement_exchange::ask_afar(const near_offer& offer, pending_ask& wish) {
+/// Queries a coordinator in another region as well if the best engine of this region would be
+/// expensive for the request. True if a query was sent and the offer is kept until it is answered.
+bool placement_exchange::query_remote_region(const local_offer& offer, pending_query& pending) {
     const instant now = monotonic_now();
-    const auto stake = static_cast<double>(wish.request.prompt.prompt_tokens +
-                                           expected_output(wish.request.prompt));
-    const double lost = offer.price.own_cost + offer.price.stream_cost;
-    if (wish.offer || lost < loss_to_ask_afar * stake || now < no_ask_afar_until_) {
+    const auto request_tokens = static_cast<double>(pending.request.prompt.prompt_tokens +
+                                                    expected_output(pending.request.prompt));
+    const double expected_cost = offer.cost.own_cost + offer.cost.stream_cost;
+    if (pending.offer || expected_cost < remote_query_cost_share * request_tokens ||
+        now < remote_query_allowed_at_) {
         return false;
     }
     const std::string_view engine = targets_.rendezvous_engine(
-        now, wish.service, wish.request, wish.tried, rendezvous_scope::another_region);
-    const std::optional<cluster_member> keeper =
-        engine.empty() ? std::nullopt : keepers_.coordinator_of(now, engine);
-    const bool is_far = keeper && reach_.round_trip(*keeper) > microseconds(0);
-    if (!is_far || reach_.is_silent(keeper->host)) {
+        now, pending.service, pending.request, pending.tried, rendezvous_scope::another_region);
+    const std::optional<cluster_member> coordinator =
+        engine.empty() ? std::nullopt : coordinators_.coordinator_of(now, engine);
+    const bool is_remote = coordinator && monitor_.round_trip(*coordinator) > microseconds(0);
+    if (!is_remote || monitor_.is_unresponsive(coordinator->host)) {
         return false;
     }
     counters_.counter("placement_asks_afar_total") += 1;
-    wish.offer = offer;
-    wish.keeper = *keeper;
-    wish.request.round_trip = reach_.round_trip(*keeper);
-    ask(static_cast<std::uint64_t>(random_.next_id<incarnation_id>()), std::move(wish));
+    pending.offer = offer;
+    pending.coordinator = *coordinator;
+    pending.request.round_trip = monitor_.round_trip(*coordinator);
+    query(static_cast<std::uint64_t>(random_.next_id<incarnation_id>()), std::move(pending));
     return true;
 }
 
-void placement_exchange::take_back(const near_offer& offer) {
-    ended(run_of(offer), run_end::left);
+void placement_exchange::release_offer(const local_offer& offer) {
+    end_attempt(attempt_from(offer), attempt_outcome::abandoned);
 }
 
-/// Goes on with what the keeper of the own region offered, if that may still be used.
-void placement_exchange::use_offer(pending_ask wish) {
+/// Uses the engine that this region's coordinator offered if it is still usable.
+void placement_exchange::use_offer(pending_query pending) {
     const instant now = monotonic_now();
-    const near_offer offer = *std::exchange(wish.offer, std::nullopt);
-    if (wish.wanted.expired()) {
-        take_back(offer);
+    const local_offer offer = *std::exchange(pending.offer, std::nullopt);
+    if (pending.caller_handle.expired()) {
+        release_offer(offer);
         return;
     }
-    if (!targets_.is_usable(offer.target, wish.service, wish.request.constraints)) {
-        take_back(offer);
-        choose_alone(offer.run, std::move(wish));
+    if (!targets_.is_usable(offer.target, pending.service, pending.request.constraints)) {
+        release_offer(offer);
+        choose_locally(offer.attempt, std::move(pending));
         return;
     }
-    target_choice choice = choice_of(offer, targets_);
-    placed_run placed = run_of(offer);
-    if (!offer.keeper.host.empty()) {
-        targets_.improve_copy_source(now, wish.request, choice);
-        placed.counted_here =
-            targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
+    target_choice choice = choice_from(offer, targets_);
+    placed_attempt placed = attempt_from(offer);
+    if (!offer.coordinator.host.empty()) {
+        targets_.improve_copy_source(now, pending.request, choice);
+        placed.local_attempt = targets_.begin_attempt(now, placed.target, pending.request,
+                                                      choice.uncached_tokens, false);
     }
-    wish.chosen(choice, placed);
+    pending.on_chosen(choice, placed);
 }
 
-/// The engines of one keeper have no turn in time, those of another may.
-void placement_exchange::try_another_keeper(std::uint64_t run, pending_ask wish) {
-    wish.cold_keepers.push_back(wish.keeper.host);
-    std::vector<std::string> passed_over = wish.cold_keepers;
-    passed_over.insert(passed_over.end(), reach_.silent().begin(), reach_.silent().end());
+/// The engines of one coordinator have no send permit in time; those of another coordinator may.
+void placement_exchange::try_another_coordinator(std::uint64_t attempt, pending_query pending) {
+    pending.cold_coordinators.push_back(pending.coordinator.host);
+    std::vector<std::string> excluded = pending.cold_coordinators;
+    excluded.insert(excluded.end(), monitor_.unresponsive().begin(), monitor_.unresponsive().end());
     const auto next =
-        keepers_.alternative_coordinator(monotonic_now(), passed_over, random_.unit());
-    if (!next || wish.cold_keepers.size() >= most_cold_keepers) {
-        wish.is_last = true;
-        choose_alone(run, std::move(wish));
+        coordinators_.alternative_coordinator(monotonic_now(), excluded, random_.unit());
+    if (!next || pending.cold_coordinators.size() >= max_cold_coordinators) {
+        pending.last_query = true;
+        choose_locally(attempt, std::move(pending));
         return;
     }
     counters_.counter("placements_at_another_keeper_total") += 1;
-    wish.keeper = *next;
-    wish.request.round_trip = reach_.round_trip(*next);
-    if (next->host == keepers_.own_host()) {
-        choose_at_own_desk(run, std::move(wish));
+    pending.coordinator = *next;
+    pending.request.round_trip = monitor_.round_trip(*next);
+    if (next->host == coordinators_.own_host()) {
+        choose_as_coordinator(attempt, std::move(pending));
     } else {
-        ask(run, std::move(wish));
+        query(attempt, std::move(pending));
     }
 }
 
 bool placement_exchange::on_message(const message_origin& origin, const wire::Envelope& message) {
     if (message.has_placement_ask()) {
-        on_ask(origin, message);
+        on_query(origin, message);
         return true;
     }
     if (message.has_placement_answer()) {
-        on_answer(origin, message);
+        on_reply(origin, message);
         return true;
     }
     if (message.has_run_news()) {
-        desk_.take_news(monotonic_now(), message.run_news());
+        local_coordinator_.apply_updates(monotonic_now(), message.run_news());
         return true;
     }
     return false;
 }
 
-void placement_exchange::on_ask(const message_origin& origin, const wire::Envelope& message) {
-    const wire::PlacementAsk& ask = message.placement_ask();
-    const engine_profile* engine = engine_of_(ask.service());
+void placement_exchange::on_query(const message_origin& origin, const wire::Envelope& message) {
+    const wire::PlacementAsk& query = message.placement_ask();
+    const engine_profile* engine = engine_of_(query.service());
     target_choice choice;
     if (engine != nullptr) {
-        const std::vector<std::string> tried(ask.tried().begin(), ask.tried().end());
-        choice = desk_.place(monotonic_now(), ask.run(), ask.service(), from_wire(ask, *engine),
-                             tried, milliseconds(ask.left_ms()));
+        const std::vector<std::string> tried(query.tried().begin(), query.tried().end());
+        choice = local_coordinator_.place(monotonic_now(), query.run(), query.service(),
+                                          from_wire(query, *engine), tried,
+                                          milliseconds(query.left_ms()));
     }
     wire::Envelope reply;
-    *reply.mutable_placement_answer() = to_wire(ask.run(), choice);
+    *reply.mutable_placement_answer() = to_wire(query.run(), choice);
     bus_.answer(origin, reply);
 }
 
-bool placement_exchange::may_use(const wire::PlacementAnswer& answer,
-                                 const pending_ask& wish) const {
-    return targets_.is_usable(answer.target(), wish.service, wish.request.constraints) &&
-           std::find(wish.tried.begin(), wish.tried.end(), answer.target()) == wish.tried.end();
+bool placement_exchange::is_usable_reply(const wire::PlacementAnswer& reply,
+                                         const pending_query& pending) const {
+    return targets_.is_usable(reply.target(), pending.service, pending.request.constraints) &&
+           std::find(pending.tried.begin(), pending.tried.end(), reply.target()) ==
+               pending.tried.end();
 }
 
-void placement_exchange::on_answer(const message_origin& origin, const wire::Envelope& message) {
-    const wire::PlacementAnswer& answer = message.placement_answer();
-    const auto found = pending_.find(answer.run());
-    const bool counted = !answer.target().empty();
-    if (found == pending_.end()) {
-        reach_.answered_late(answer.run());
-        // It came too late: the keeper must not count a run that went elsewhere.
-        if (counted) {
-            wire::RunNews news;
-            news.set_run(answer.run());
-            news.set_end(wire::RUN_LEFT);
-            news_.tell(origin.endpoint, news);
+void placement_exchange::on_reply(const message_origin& origin, const wire::Envelope& message) {
+    const wire::PlacementAnswer& reply = message.placement_answer();
+    const auto found = queries_.find(reply.run());
+    const bool has_target = !reply.target().empty();
+    if (found == queries_.end()) {
+        monitor_.on_late_reply(reply.run());
+        // The reply is too late: the coordinator must not count an attempt that went elsewhere.
+        if (has_target) {
+            wire::RunNews update;
+            update.set_run(reply.run());
+            update.set_end(wire::RUN_LEFT);
+            updates_.enqueue(origin.endpoint, update);
         }
         return;
     }
     const instant now = monotonic_now();
-    pending_ask wish = std::move(found->second);
-    pending_.erase(found);
-    reach_.answered(wish.keeper, wish.asked);
-    placed_run placed{answer.run(),
-                      answer.target(),
-                      wish.keeper.host,
-                      wish.keeper.endpoint,
-                      0,
-                      now - wish.asked,
-                      {}};
-    if (wish.wanted.expired()) {
-        ended(placed, run_end::left);
-        if (wish.offer) {
-            take_back(*wish.offer);
+    pending_query pending = std::move(found->second);
+    queries_.erase(found);
+    monitor_.on_reply(pending.coordinator, pending.sent_at);
+    placed_attempt placed{reply.run(),
+                          reply.target(),
+                          pending.coordinator.host,
+                          pending.coordinator.endpoint,
+                          0,
+                          now - pending.sent_at,
+                          {}};
+    if (pending.caller_handle.expired()) {
+        end_attempt(placed, attempt_outcome::abandoned);
+        if (pending.offer) {
+            release_offer(*pending.offer);
         }
         return;
     }
-    if (wish.offer) {
-        choose_region(answer, placed, std::move(wish));
+    if (pending.offer) {
+        choose_between_regions(reply, placed, std::move(pending));
         return;
     }
-    if (!counted && answer.all_cold()) {
-        try_another_keeper(answer.run(), std::move(wish));
+    if (!has_target && reply.all_cold()) {
+        try_another_coordinator(reply.run(), std::move(pending));
         return;
     }
-    if (!may_use(answer, wish)) {
+    if (!is_usable_reply(reply, pending)) {
         counters_.counter("placement_answers_unusable_total") += 1;
-        if (counted) {
-            ended(placed, run_end::left);
+        if (has_target) {
+            end_attempt(placed, attempt_outcome::abandoned);
         }
-        choose_alone(answer.run(), std::move(wish));
+        choose_locally(reply.run(), std::move(pending));
         return;
     }
-    counters_.histogram("placement_ask_ms").observe(placed.asked_for);
-    target_choice choice = from_wire(answer, targets_);
-    drop_forbidden_copy(wish.request, choice);
-    const near_offer offer = offer_of(answer.run(), choice, wish.keeper, placed.asked_for);
-    const bool is_near = reach_.round_trip(wish.keeper) == microseconds(0);
-    if (is_near && ask_afar(offer, wish)) {
+    counters_.histogram("placement_ask_ms").observe(placed.selection_time);
+    target_choice choice = from_wire(reply, targets_);
+    drop_disallowed_copy(pending.request, choice);
+    const local_offer offer =
+        make_offer(reply.run(), choice, pending.coordinator, placed.selection_time);
+    const bool is_local = monitor_.round_trip(pending.coordinator) == microseconds(0);
+    if (is_local && query_remote_region(offer, pending)) {
         return;
     }
-    targets_.improve_copy_source(now, wish.request, choice);
-    placed.counted_here =
-        targets_.begin_attempt(now, placed.target, wish.request, choice.uncached_tokens, false);
-    wish.chosen(choice, placed);
+    targets_.improve_copy_source(now, pending.request, choice);
+    placed.local_attempt =
+        targets_.begin_attempt(now, placed.target, pending.request, choice.uncached_tokens, false);
+    pending.on_chosen(choice, placed);
 }
 
-/// The keeper's settings or its list may be older than this entry's.
-void placement_exchange::drop_forbidden_copy(const engine_request& request, target_choice& choice) {
+/// The coordinator's settings or target list may be older than this gateway's.
+void placement_exchange::drop_disallowed_copy(const engine_request& request,
+                                              target_choice& choice) {
     if (choice.copy_from == nullptr ||
         targets_.may_copy(choice.copy_from->id, choice.target->id, request.constraints.regions)) {
         return;
@@ -347,70 +365,70 @@
     choice.uncached_tokens = request.prompt.prompt_tokens;
 }
 
-/// A keeper of another region answered while one of the own region holds a place: the better one is
-/// used and the other one taken back.
-void placement_exchange::choose_region(const wire::PlacementAnswer& answer, placed_run placed,
-                                       pending_ask wish) {
-    const bool better =
-        may_use(answer, wish) && answer.sum() < gain_to_cross * wish.offer->price.total;
-    if (!better) {
-        no_ask_afar_until_ = monotonic_now() + vain_rest;
-        if (!answer.target().empty()) {
-            ended(placed, run_end::left);
+/// Compares the reply of another region's coordinator with the offer that is held in this region.
+/// Uses the cheaper one and releases the other.
+void placement_exchange::choose_between_regions(const wire::PlacementAnswer& reply,
+                                                placed_attempt placed, pending_query pending) {
+    const bool remote_is_cheaper = is_usable_reply(reply, pending) &&
+                                   reply.sum() < max_remote_cost_ratio * pending.offer->cost.total;
+    if (!remote_is_cheaper) {
+        remote_query_allowed_at_ = monotonic_now() + remote_query_backoff;
+        if (!reply.target().empty()) {
+            end_attempt(placed, attempt_outcome::abandoned);
         }
-        use_offer(std::move(wish));
+        use_offer(std::move(pending));
         return;
     }
     counters_.counter("placements_afar_total") += 1;
-    take_back(*wish.offer);
-    target_choice choice = from_wire(answer, targets_);
-    drop_forbidden_copy(wish.request, choice);
-    placed.counted_here = targets_.begin_attempt(monotonic_now(), placed.target, wish.request,
-                                                 choice.uncached_tokens, false);
-    wish.chosen(choice, placed);
+    release_offer(*pending.offer);
+    target_choice choice = from_wire(reply, targets_);
+    drop_disallowed_copy(pending.request, choice);
+    placed.local_attempt = targets_.begin_attempt(monotonic_now(), placed.target, pending.request,
+                                                  choice.uncached_tokens, false);
+    pending.on_chosen(choice, placed);
 }
 
-void placement_exchange::first_event(const placed_run& run) {
+void placement_exchange::record_first_event(const placed_attempt& attempt) {
     const instant now = monotonic_now();
-    if (run.counted_here != 0) {
-        targets_.record_first_event(now, run.target, run.counted_here);
+    if (attempt.local_attempt != 0) {
+        targets_.record_first_event(now, attempt.target, attempt.local_attempt);
     }
-    if (run.keeper_endpoint.empty()) {
-        desk_.first_event(now, run.number);
+    if (attempt.coordinator_endpoint.empty()) {
+        local_coordinator_.record_first_event(now, attempt.id);
         return;
     }
-    wire::RunNews news;
-    news.set_run(run.number);
-    news.set_first_event(true);
-    news_.tell(run.keeper_endpoint, news);
+    wire::RunNews update;
+    update.set_run(attempt.id);
+    update.set_first_event(true);
+    updates_.enqueue(attempt.coordinator_endpoint, update);
 }
 
-void placement_exchange::next_events(placed_run& run, microseconds span) {
+void placement_exchange::record_event_span(placed_attempt& attempt, microseconds span) {
     const instant now = monotonic_now();
-    if (run.counted_here != 0) {
-        targets_.record_event_span(now, run.target, span);
+    if (attempt.local_attempt != 0) {
+        targets_.record_event_span(now, attempt.target, span);
     }
-    if (run.keeper_endpoint.empty()) {
-        desk_.next_events(now, run.number, span);
+    if (attempt.coordinator_endpoint.empty()) {
+        local_coordinator_.record_event_span(now, attempt.id, span);
         return;
     }
-    run.spans.push_back(span);
+    attempt.event_spans.push_back(span);
 }
 
-void placement_exchange::ended(const placed_run& run, run_end how) {
+void placement_exchange::end_attempt(const placed_attempt& attempt, attempt_outcome outcome) {
     const instant now = monotonic_now();
-    targets_.end_attempt(now, run.target, run.counted_here);
-    if (run.keeper_endpoint.empty()) {
-        desk_.ended_here(now, run.number);
+    targets_.end_attempt(now, attempt.target, attempt.local_attempt);
+    if (attempt.coordinator_endpoint.empty()) {
+        local_coordinator_.end_local_attempt(now, attempt.id);
         return;
     }
-    wire::RunNews news;
-    news.set_run(run.number);
-    news.set_end(to_wire(how));
-    for (const microseconds span : run.spans) {
-        news.add_spans_us(static_cast<std::uint32_t>(span.count()));
+    wire::RunNews update;
+    update.set_run(attempt.id);
+    update.set_end(to_wire(outcome));
+    for (const microseconds span : attempt.event_spans) {
+        update.add_spans_us(static_cast<std::uint32_t>(span.count()));
     }
-    news_.tell(run.keeper_endpoint, news);
+    updates_.enqueue(attempt.coordinator_endpoint, update);
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/placement_exchange.hpp
+++ b/src/roles/gateway/placement_exchange.hpp
@@ -24,106 +24,107 @@
 
 namespace wrenswitch {
 
-/// Finds an engine for each request with a prompt: asks the keeper of the session's home engine,
-/// and chooses by this entry's own runs if no keeper answers in time. A request costs three small
-/// messages, however many entries and engines there are.
+/// Finds an engine for each request with a prompt. It queries the coordinator of the engine that
+/// the session maps to, and falls back to a choice by this gateway's own attempts if no coordinator
+/// replies in time. A request costs three small messages, however many gateways and engines there
+/// are.
 class placement_exchange {
 public:
-    /// What an exchange needs of its process.
+    /// Callbacks into the process.
     struct hooks {
-        /// What the engines of a service are like, or null if that isn't known.
+        /// The profile of a service's engines, or null if it isn't known.
         std::function<const engine_profile*(const std::string& service)> engine_of;
-        /// A keeper says nothing. Only if asks that went out later were answered is it the keeper's
-        /// silence and not this entry's own lateness.
-        std::function<void(const std::string& host, bool others_answered)> keeper_silent;
-        /// A keeper answered.
-        std::function<void(const std::string& host)> keeper_answered;
-        /// The way to a keeper and back; none if it is near.
-        std::function<microseconds(const cluster_member& keeper)> round_trip = [](const auto&) {
-            return microseconds(0);
-        };
-        /// A keeper answered after this time, in time or not.
-        std::function<void(const cluster_member& keeper, microseconds took)> answered_after =
-            [](const auto&, microseconds) {};
+        /// A coordinator doesn't reply. `others_answered` is true if queries that were sent later
+        /// got replies; otherwise this process itself may be late.
+        std::function<void(const std::string& host, bool others_answered)> coordinator_unresponsive;
+        /// A coordinator replied.
+        std::function<void(const std::string& host)> coordinator_responded;
+        /// The round trip time to a coordinator; zero if it is in this gateway's region.
+        std::function<microseconds(const cluster_member& coordinator)> round_trip =
+            [](const auto&) { return microseconds(0); };
+        /// A coordinator's reply took this long, whether it arrived before or after the timeout.
+        std::function<void(const cluster_member& coordinator, microseconds elapsed)>
+            round_trip_measured = [](const auto&, microseconds) {};
     };
 
-    /// Ends the wish for a choice when it is dropped.
+    /// Destroying the handle cancels the choice.
     struct handle {};
 
-    using choice_hook = std::function<void(const target_choice&, const placed_run&)>;
+    using choice_hook = std::function<void(const target_choice&, const placed_attempt&)>;
 
-    /// All that is referred to must outlive the exchange.
+    /// All references must outlive the exchange.
     placement_exchange(event_loop& loop, message_bus& bus, target_pool& targets,
-                       engine_coordinators& keepers, placement_desk& desk, metrics& counters,
-                       hooks needs);
+                       engine_coordinators& coordinators, placement_coordinator& local_coordinator,
+                       metrics& counters, hooks needs);
     ~placement_exchange();
     placement_exchange(const placement_exchange&) = delete;
     placement_exchange& operator=(const placement_exchange&) = delete;
 
-    /// Chooses an engine, leaving out those already tried, for a caller who waits this long, and
-    /// tells it through the hook: at once, or later while the result is kept. The choice has no
-    /// target if there is none.
+    /// Chooses an engine other than those in `tried` for a caller whose deadline is `remaining`
+    /// from now. Calls the hook either before it returns or later, as long as the handle exists.
+    /// The choice has no target if there is none.
     std::shared_ptr<handle> place(const std::string& service, const engine_request& request,
-                                  std::span<const std::string> tried, microseconds left,
-                                  choice_hook chosen);
+                                  std::span<const std::string> tried, microseconds remaining,
+                                  choice_hook on_chosen);
 
-    /// The first event of a run came.
-    void first_event(const placed_run& run);
+    /// The attempt's first event arrived.
+    void record_first_event(const placed_attempt& attempt);
 
-    /// A whole span of later events came within this time.
-    void next_events(placed_run& run, microseconds span);
+    /// A full span of later events arrived within this time.
+    void record_event_span(placed_attempt& attempt, microseconds span);
 
-    /// A run has ended.
-    void ended(const placed_run& run, run_end how);
+    /// The attempt has ended.
+    void end_attempt(const placed_attempt& attempt, attempt_outcome outcome);
 
-    /// Takes a message. False if it isn't for the exchange.
+    /// Handles a message. False if it isn't of a kind that the exchange handles.
     bool on_message(const message_origin& origin, const wire::Envelope& message);
 
 private:
-    struct pending_ask {
+    struct pending_query {
         std::string service;
         engine_request request;
         std::vector<std::string> tried;
-        /// How long the caller still waits.
-        microseconds left{};
-        choice_hook chosen;
-        std::weak_ptr<handle> wanted;
-        cluster_member keeper;
-        instant asked{};
-        std::optional<near_offer> offer;
-        /// Keepers whose engines are cold and have no turn in time.
-        std::vector<std::string> cold_keepers;
-        /// True if nobody is asked after this.
-        bool is_last = false;
+        /// Time until the caller's deadline.
+        microseconds remaining{};
+        choice_hook on_chosen;
+        std::weak_ptr<handle> caller_handle;
+        cluster_member coordinator;
+        instant sent_at{};
+        std::optional<local_offer> offer;
+        /// Coordinators whose engines are all cold and have no send permit in time.
+        std::vector<std::string> cold_coordinators;
+        /// True if no further coordinator is queried after this one.
+        bool last_query = false;
     };
 
-    void ask(std::uint64_t run, pending_ask wish);
-    void give_up(std::uint64_t run, instant asked);
-    void choose_alone(std::uint64_t run, pending_ask wish);
-    void choose_at_own_desk(std::uint64_t run, pending_ask wish);
-    void try_another_keeper(std::uint64_t run, pending_ask wish);
-    bool ask_afar(const near_offer& offer, pending_ask& wish);
-    void take_back(const near_offer& offer);
-    void use_offer(pending_ask wish);
-    void choose_region(const wire::PlacementAnswer& answer, placed_run placed, pending_ask wish);
-    void on_ask(const message_origin& origin, const wire::Envelope& message);
-    bool may_use(const wire::PlacementAnswer& answer, const pending_ask& wish) const;
-    void on_answer(const message_origin& origin, const wire::Envelope& message);
-    void drop_forbidden_copy(const engine_request& request, target_choice& choice);
+    void query(std::uint64_t attempt, pending_query pending);
+    void on_timeout(std::uint64_t attempt, instant sent_at);
+    void choose_locally(std::uint64_t attempt, pending_query pending);
+    void choose_as_coordinator(std::uint64_t attempt, pending_query pending);
+    void try_another_coordinator(std::uint64_t attempt, pending_query pending);
+    bool query_remote_region(const local_offer& offer, pending_query& pending);
+    void release_offer(const local_offer& offer);
+    void use_offer(pending_query pending);
+    void choose_between_regions(const wire::PlacementAnswer& reply, placed_attempt placed,
+                                pending_query pending);
+    void on_query(const message_origin& origin, const wire::Envelope& message);
+    bool is_usable_reply(const wire::PlacementAnswer& reply, const pending_query& pending) const;
+    void on_reply(const message_origin& origin, const wire::Envelope& message);
+    void drop_disallowed_copy(const engine_request& request, target_choice& choice);
 
     event_loop& loop_;
     message_bus& bus_;
     target_pool& targets_;
-    engine_coordinators& keepers_;
-    placement_desk& desk_;
+    engine_coordinators& coordinators_;
+    placement_coordinator& local_coordinator_;
     metrics& counters_;
     std::function<const engine_profile*(const std::string& service)> engine_of_;
-    keeper_reach reach_;
-    run_news_sender news_;
+    coordinator_monitor monitor_;
+    attempt_update_sender updates_;
     random_source random_;
-    std::map<std::uint64_t, pending_ask> pending_;
-    /// Until when no other region is asked, since one had nothing better.
-    instant no_ask_afar_until_{};
+    std::map<std::uint64_t, pending_query> queries_;
+    /// No other region is queried before this time, because the last query offered nothing better.
+    instant remote_query_allowed_at_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/roles/gateway/request_rollout.hpp
+++ b/src/roles/gateway/request_rollout.hpp
@@ -14,7 +14,7 @@
 /// permission for each attempt, and the outcome of each attempt. It does nothing without a rollout.
 class request_rollout {
 public:
-    explicit request_rollout(entry_rollouts& rollouts) : rollouts_(rollouts) {}
+    explicit request_rollout(rollout_gates& rollouts) : rollouts_(rollouts) {}
 
     /// Sets the service and route of the request. `session` has the meaning of
     /// rollout_request::session.
@@ -53,7 +53,7 @@
     /// The gate of the rollout in which the current attempt is counted, or null.
     rollout_gate* active_gate();
 
-    entry_rollouts& rollouts_;
+    rollout_gates& rollouts_;
     std::string service_;
     rollout_request request_;
     version_constraint constraint_;
--- a/src/roles/gateway/request_suspicion.cpp
+++ b/src/roles/gateway/request_suspicion.cpp
@@ -12,12 +12,12 @@
 }
 
 suspicion request_suspicion::level() {
-    return suspects_.any() ? suspects_.held_of(fingerprint()) : suspicion::none;
+    return suspects_.has_suspects() ? suspects_.suspicion_of(fingerprint()) : suspicion::none;
 }
 
 bool request_suspicion::begin_attempt(const target_incarnation& incarnation) {
     if (level() != suspicion::none) {
-        if (!suspects_.begin_alone(fingerprint())) {
+        if (!suspects_.try_begin_exclusive(fingerprint())) {
             return false;
         }
         exclusive_ = true;
@@ -33,14 +33,14 @@
     attempt_active_ = false;
     release_exclusive_attempt();
     if (failure == upstream_failure::cut_short || failure == upstream_failure::broken) {
-        crashes_.broke(now, incarnation_, fingerprint());
+        crashes_.record_interrupted(now, incarnation_, fingerprint());
     }
 }
 
 void request_suspicion::record_abandonment(instant now) {
     release_exclusive_attempt();
     if (std::exchange(attempt_active_, false)) {
-        crashes_.left(now, incarnation_, fingerprint());
+        crashes_.record_cancelled(now, incarnation_, fingerprint());
     }
 }
 
@@ -48,13 +48,13 @@
     attempt_active_ = false;
     release_exclusive_attempt();
     if (succeeded) {
-        suspects_.ended_well(fingerprint());
+        suspects_.record_success(fingerprint());
     }
 }
 
 void request_suspicion::release_exclusive_attempt() {
     if (std::exchange(exclusive_, false)) {
-        suspects_.end_alone(fingerprint());
+        suspects_.end_exclusive(fingerprint());
     }
 }
 
--- a/src/roles/gateway/request_suspicion.hpp
+++ b/src/roles/gateway/request_suspicion.hpp
@@ -13,7 +13,7 @@
 /// it, and the evidence of its attempts.
 class request_suspicion {
 public:
-    request_suspicion(suspect_exchange& suspects, target_ends& crashes)
+    request_suspicion(suspect_exchange& suspects, target_crash_detector& crashes)
         : suspects_(suspects), crashes_(crashes) {}
     ~request_suspicion() { release_exclusive_attempt(); }
     request_suspicion(const request_suspicion&) = delete;
@@ -44,7 +44,7 @@
     }
 
     /// Records that data of the target of the current attempt arrived.
-    void record_activity(instant now) { crashes_.heard(now, incarnation_); }
+    void record_activity(instant now) { crashes_.record_activity(now, incarnation_); }
 
     /// Records that the connection of the current attempt failed.
     void record_connection_failure(instant now, upstream_failure failure);
@@ -58,7 +58,7 @@
     void release_exclusive_attempt();
 
     suspect_exchange& suspects_;
-    target_ends& crashes_;
+    target_crash_detector& crashes_;
     request_content content_;
     std::optional<digest> fingerprint_;
     target_incarnation incarnation_;
--- a/src/roles/gateway/rollout_codec.cpp
+++ b/src/roles/gateway/rollout_codec.cpp
@@ -5,33 +5,34 @@
 namespace wrenswitch {
 namespace {
 
-/// Longer than any order's time; what says more is damaged.
-constexpr std::uint64_t most_known_for_ms = 100'000'000'000;
+/// Longer than the duration of any order; a message with a larger value is damaged.
+constexpr std::uint64_t max_known_for_ms = 100'000'000'000;
 
-std::int64_t whole_milliseconds(microseconds length) {
-    return std::chrono::duration_cast<milliseconds>(length).count();
+std::int64_t to_milliseconds(microseconds duration) {
+    return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
 using bucket_counts = google::protobuf::RepeatedField<std::uint32_t>;
 
-/// The counts without the empty ones at the end.
-void write_counts(const latency_histogram& times, bucket_counts& message) {
-    std::size_t used = latency_histogram::buckets;
-    while (used > 0 && times.counts().at(used - 1) == 0) {
-        --used;
+/// Writes the counts without trailing zeros.
+void write_buckets(const latency_histogram& histogram, bucket_counts& message) {
+    std::size_t bucket_count = latency_histogram::buckets;
+    while (bucket_count > 0 && histogram.counts().at(bucket_count - 1) == 0) {
+        --bucket_count;
     }
-    for (std::size_t bucket = 0; bucket < used; ++bucket) {
-        message.Add(times.counts().at(bucket));
+    for (std::size_t bucket = 0; bucket < bucket_count; ++bucket) {
+        message.Add(histogram.counts().at(bucket));
     }
 }
 
-latency_histogram read_counts(const bucket_counts& message) {
-    latency_histogram times;
-    const auto given = static_cast<std::size_t>(message.size());
-    for (std::size_t bucket = 0; bucket < std::min(latency_histogram::buckets, given); ++bucket) {
-        times.counts().at(bucket) = message.Get(static_cast<int>(bucket));
+latency_histogram read_buckets(const bucket_counts& message) {
+    latency_histogram histogram;
+    const auto received = static_cast<std::size_t>(message.size());
+    for (std::size_t bucket = 0; bucket < std::min(latency_histogram::buckets, received);
+         ++bucket) {
+        histogram.counts().at(bucket) = message.Get(static_cast<int>(bucket));
     }
-    return times;
+    return histogram;
 }
 
 wire::RolloutPhase to_wire(rollout_phase phase) {
@@ -75,76 +76,76 @@
     message.set_process(raw(process));
     message.set_service(report.service);
     message.set_order(report.order);
-    message.set_known_for_ms(static_cast<std::uint64_t>(whole_milliseconds(report.known_for)));
+    message.set_known_for_ms(static_cast<std::uint64_t>(to_milliseconds(report.known_for)));
     message.set_moved(report.moved);
     message.set_reached(report.reached);
     message.set_exposed(report.exposed);
     message.set_found_bad(report.found_bad);
-    for (const auto& [key, answers] : evidence.counts) {
+    for (const auto& [key, responses] : evidence.counts) {
         wire::AnswerCounts& counts = *message.add_counts();
         counts.set_route(key.route);
         counts.set_target(key.target);
-        counts.set_sent(answers.sent);
-        counts.set_well(answers.succeeded);
-        counts.set_badly(answers.failed);
-        counts.set_silent(answers.inconclusive);
-        write_counts(answers.first_event, *counts.mutable_first());
-        write_counts(answers.event_interval, *counts.mutable_pace());
+        counts.set_sent(responses.sent);
+        counts.set_well(responses.succeeded);
+        counts.set_badly(responses.failed);
+        counts.set_silent(responses.inconclusive);
+        write_buckets(responses.first_event, *counts.mutable_first());
+        write_buckets(responses.event_interval, *counts.mutable_pace());
     }
     return message;
 }
 
-std::optional<told_rollout> from_wire(const wire::RolloutReport& message) {
-    if (message.service().empty() || message.known_for_ms() > most_known_for_ms) {
+std::optional<process_report> from_wire(const wire::RolloutReport& message) {
+    if (message.service().empty() || message.known_for_ms() > max_known_for_ms) {
         return std::nullopt;
     }
-    told_rollout told;
-    told.process = incarnation_id{message.process()};
-    told.report.service = message.service();
-    told.report.order = message.order();
-    told.report.known_for = milliseconds(message.known_for_ms());
-    told.report.moved = message.moved();
-    told.report.reached = message.reached();
-    told.report.exposed = message.exposed();
-    told.report.found_bad = message.found_bad();
+    process_report result;
+    result.process = incarnation_id{message.process()};
+    result.report.service = message.service();
+    result.report.order = message.order();
+    result.report.known_for = milliseconds(message.known_for_ms());
+    result.report.moved = message.moved();
+    result.report.reached = message.reached();
+    result.report.exposed = message.exposed();
+    result.report.found_bad = message.found_bad();
     for (const wire::AnswerCounts& counts : message.counts()) {
-        response_counts& answers = told.evidence.counts[{counts.route(), counts.target()}];
-        answers.sent = counts.sent();
-        answers.succeeded = counts.well();
-        answers.failed = counts.badly();
-        answers.inconclusive = counts.silent();
-        answers.first_event = read_counts(counts.first());
-        answers.event_interval = read_counts(counts.pace());
+        response_counts& responses = result.evidence.counts[{counts.route(), counts.target()}];
+        responses.sent = counts.sent();
+        responses.succeeded = counts.well();
+        responses.failed = counts.badly();
+        responses.inconclusive = counts.silent();
+        responses.first_event = read_buckets(counts.first());
+        responses.event_interval = read_buckets(counts.pace());
     }
-    return told;
+    return result;
 }
 
-wire::RolloutStand to_wire(const rollout_directive& stand) {
+wire::RolloutStand to_wire(const rollout_directive& directive) {
     wire::RolloutStand message;
-    message.set_service(stand.service);
-    message.set_order(stand.order);
-    message.set_version(stand.version);
-    message.set_phase(to_wire(stand.phase));
-    message.set_canary_part(stand.canary_fraction);
-    message.set_group_size(stand.group_size);
-    message.set_group_seed(stand.group_seed);
-    message.set_left_ms(whole_milliseconds(stand.remaining));
-    message.set_held_for_bad(stand.version_bad);
+    message.set_service(directive.service);
+    message.set_order(directive.order);
+    message.set_version(directive.version);
+    message.set_phase(to_wire(directive.phase));
+    message.set_canary_part(directive.canary_fraction);
+    message.set_group_size(directive.group_size);
+    message.set_group_seed(directive.group_seed);
+    message.set_left_ms(to_milliseconds(directive.remaining));
+    message.set_held_for_bad(directive.version_bad);
     return message;
 }
 
 std::optional<rollout_directive> from_wire(const wire::RolloutStand& message) {
     const std::optional<rollout_phase> phase = from_wire(message.phase());
-    const double part = message.canary_part();
-    if (!phase || !(part >= 0.0 && part <= 1.0)) {
+    const double canary_fraction = message.canary_part();
+    if (!phase || !(canary_fraction >= 0.0 && canary_fraction <= 1.0)) {
         return std::nullopt;
     }
-    rollout_directive stand{
-        message.service(),    message.order(),     message.version(), *phase, part,
-        message.group_size(), message.group_seed()};
-    stand.remaining = milliseconds(message.left_ms());
-    stand.version_bad = message.held_for_bad();
-    return stand;
+    rollout_directive directive{
+        message.service(), message.order(),      message.version(),   *phase,
+        canary_fraction,   message.group_size(), message.group_seed()};
+    directive.remaining = milliseconds(message.left_ms());
+    directive.version_bad = message.held_for_bad();
+    return directive;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/rollout_codec.hpp
+++ b/src/roles/gateway/rollout_codec.hpp
@@ -10,8 +10,8 @@
 
 namespace wrenswitch {
 
-/// What one process tells of one roll-out.
-struct told_rollout {
+/// One process's report on one rollout.
+struct process_report {
     incarnation_id process{};
     rollout_report report;
     rollout_evidence evidence;
@@ -20,12 +20,12 @@
 wire::RolloutReport to_wire(incarnation_id process, const rollout_report& report,
                             const rollout_evidence& evidence);
 
-/// Nothing if the message makes no sense.
-std::optional<told_rollout> from_wire(const wire::RolloutReport& message);
+/// Empty if the message is invalid.
+std::optional<process_report> from_wire(const wire::RolloutReport& message);
 
-wire::RolloutStand to_wire(const rollout_directive& stand);
+wire::RolloutStand to_wire(const rollout_directive& directive);
 
-/// Nothing if the message makes no sense, or has a phase that this release doesn't know.
+/// Empty if the message is invalid or has a phase that this release doesn't know.
 std::optional<rollout_directive> from_wire(const wire::RolloutStand& message);
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/rollout_desk.hpp
+++ b/src/roles/gateway/rollout_desk.hpp
@@ -15,70 +15,70 @@
 
 namespace wrenswitch {
 
-/// How many targets of the old and of the new version a service has listed; zero of both while the
-/// list isn't known.
-struct rollout_target_numbers {
+/// How many targets with the old and with the new version of a service are listed; both zero while
+/// the target list isn't known.
+struct rollout_target_counts {
     std::size_t old_version = 0;
     std::size_t new_version = 0;
 };
 
-/// The roll-outs that a process decides, or would decide if the one that does were lost: the newest
-/// reports of each, and what the log should hold of them.
-class rollout_desk {
+/// The rollouts that this process decides, or would decide if the current decider were lost. Keeps
+/// the latest reports on each and writes the decisions to the log.
+class rollout_deciders {
 public:
     struct hooks {
-        std::function<rollout_target_numbers(const rollout_order& order)> targets_of;
-        rollout_decider::evaluate_hook judge;
-        /// True if the operator has taken this order back.
+        std::function<rollout_target_counts(const rollout_order& order)> count_targets;
+        rollout_decider::evaluate_hook evaluate;
+        /// True if the operator has withdrawn this order.
         std::function<bool(const rollout_order& order)> is_withdrawn;
-        /// The word on a service changed in what entries must know at once.
-        std::function<void(const rollout_directive& stand)> phase_changed;
+        /// The directive for a service changed its phase, which gateways must learn at once.
+        std::function<void(const rollout_directive& directive)> phase_changed;
     };
 
-    rollout_desk(incarnation_id own, double exposed_share, rollout_ledger& ledger,
-                 metrics& counters, hooks needs);
+    rollout_deciders(incarnation_id own, double exposed_share, rollout_ledger& ledger,
+                     metrics& counters, hooks needs);
 
-    /// The orders that stand. Deciders of others are dropped.
-    void keep_orders(instant now, std::span<const rollout_order> orders);
+    /// Sets the current orders and drops the deciders of all others.
+    void set_orders(instant now, std::span<const rollout_order> orders);
 
-    /// Takes a process's report. True if it may change what is decided at once. One for an order
-    /// that this process hasn't heard of is dropped; the next comes soon.
-    bool take(instant now, told_rollout told);
+    /// Records a process's report. True if it may change the decision at once. A report on an order
+    /// that isn't known here is dropped; the next one follows soon.
+    bool record_report(instant now, process_report received);
 
-    /// Decides all roll-outs; only the process that decides calls it.
+    /// Decides all rollouts; called only in the process that is the decider.
     void decide(instant now, std::span<const cluster_member> members, microseconds report_period);
 
-    /// The word on a service as it was last decided here.
-    const rollout_directive* stand_of(std::string_view service, std::uint64_t order) const;
+    /// The last directive for a service and order, or null if there is none.
+    const rollout_directive* directive_of(std::string_view service, std::uint64_t order) const;
 
-    /// The words that were decided last.
-    std::vector<rollout_directive> stands() const;
+    /// The last directives of all services.
+    std::vector<rollout_directive> directives() const;
 
-    /// True while an end is near, so that it pays to look often.
-    bool is_moving() const;
+    /// True while a rollout is in the moving phase, when it should be checked more often.
+    bool has_moving() const;
 
 private:
-    struct service_desk {
+    struct service_state {
         rollout_decider decider;
-        std::optional<rollout_directive> stand;
-        /// The end that was told of in the log of lines.
-        std::optional<rollout_state> told_end;
-        instant gauges_set{};
+        std::optional<rollout_directive> directive;
+        /// The final state that was last logged as wanted.
+        std::optional<rollout_state> logged_end;
+        instant gauges_set_at{};
     };
 
-    void decide_one(instant now, service_desk& desk, std::span<const cluster_member> members,
+    void decide_one(instant now, service_state& state, std::span<const cluster_member> members,
                     microseconds report_period);
     void publish(const rollout_order& order);
-    void set_gauges(service_desk& desk, const rollout_totals& sums);
-    void note(instant now, service_desk& desk, const rollout_decision& decision,
-              std::span<const cluster_member> members, microseconds report_period);
+    void set_gauges(service_state& state, const rollout_totals& totals);
+    void log_decision(instant now, service_state& state, const rollout_decision& decision,
+                      std::span<const cluster_member> members, microseconds report_period);
 
     incarnation_id own_;
     double exposed_share_;
     rollout_ledger& ledger_;
     metrics& counters_;
     hooks hooks_;
-    std::map<std::string, service_desk, std::less<>> services_;
+    std::map<std::string, service_state, std::less<>> services_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/rollout_exchange.cpp
+++ b/src/roles/gateway/rollout_exchange.cpp
@@ -13,50 +13,51 @@
 namespace wrenswitch {
 namespace {
 
-/// How far apart a process's reports are: a roll-out is decided by answers that come over seconds.
-constexpr microseconds shortest_report_period = milliseconds(250);
+/// The minimum time between a process's reports; a rollout is decided on responses that arrive over
+/// seconds.
+constexpr microseconds min_report_period = milliseconds(250);
 
-/// ... and more with many members, so that the decider takes no more than some 330 reports a
-/// second, which is 230 KB/s at 700 bytes each.
-constexpr microseconds report_period_a_member = milliseconds(3);
+/// The period grows with the number of members, so that the decider gets at most about 330 reports
+/// a second, which is 230 KB/s at 700 bytes each.
+constexpr microseconds report_period_per_member = milliseconds(3);
 
-/// A decider that has said nothing for so long, and for so many periods, is passed over for the
-/// rest. Some times what a lost packet takes to be sent again.
-constexpr microseconds shortest_silence = milliseconds(600);
-constexpr int silent_periods = 2;
-constexpr microseconds first_silent_rest = seconds(2);
-constexpr microseconds longest_silent_rest = seconds(16);
+/// A decider that hasn't replied for this long, and for this many report periods, is skipped for
+/// the backoff time. The minimum is a few times the retransmission time of a lost packet.
+constexpr microseconds min_reply_timeout = milliseconds(600);
+constexpr int reply_timeout_periods = 2;
+constexpr microseconds initial_backoff = seconds(2);
+constexpr microseconds max_backoff = seconds(16);
 
-/// A process that hasn't looked for so long was frozen: what it waits for may lie unread.
-constexpr microseconds longest_pause = milliseconds(800);
+/// A process that hasn't run a tick for this long was frozen; replies may be waiting unread.
+constexpr microseconds frozen_threshold = milliseconds(800);
 
-/// While an end is near: the last 400 ms before the deadline are for the last runs at old targets,
-/// the word of it, and the append.
-constexpr microseconds look_near_end = milliseconds(40);
+/// The tick period in the moving phase. The last 400 ms before the deadline must hold the last
+/// attempts at old targets, the reports on them and the append to the log.
+constexpr microseconds cutover_tick_period = milliseconds(40);
 
-/// A process that found a version bad by itself waits for the decider for so long before it writes
-/// that itself.
-constexpr microseconds stop_alone_after = milliseconds(500);
+/// How long a process that found a version bad by itself waits for the decider before it writes the
+/// rollback to the log.
+constexpr microseconds independent_stop_delay = milliseconds(500);
 
-/// Where a process was that reported so long ago isn't told of changes.
-constexpr microseconds told_for = seconds(5);
+/// Processes whose last report is older than this aren't sent changes.
+constexpr microseconds reporter_lifetime = seconds(5);
 
 }  // namespace
 
 struct rollout_exchange::state {
     struct reporter {
         message_origin origin;
-        instant heard{};
+        instant last_report_at{};
     };
 
-    /// How long a decider that didn't answer is passed over.
-    struct rest {
+    /// How long a decider that didn't reply is skipped.
+    struct backoff {
         instant until{};
-        microseconds length{};
+        microseconds duration{};
     };
 
-    /// What was last told of a roll-out, so that what is urgent goes at once.
-    struct told_last {
+    /// The last report on a rollout, to detect changes that must be sent at once.
+    struct last_report {
         std::uint64_t order = 0;
         bool moved = false;
         bool found_bad = false;
@@ -64,7 +65,7 @@
     };
 
     state(event_loop& of_loop, message_bus& of_bus, const token_allocator_selector& of_members,
-          incarnation_id of_own, own_rollouts of_rollouts, rollout_ledger& of_ledger,
+          incarnation_id of_own, local_rollouts of_rollouts, rollout_ledger& of_ledger,
           metrics& of_counters, hooks needs)
         : loop(of_loop),
           bus(of_bus),
@@ -73,9 +74,10 @@
           rollouts(std::move(of_rollouts)),
           ledger(of_ledger),
           counters(of_counters),
-          desk(own, needs.exposed_share, ledger, counters,
-               {std::move(needs.targets_of), std::move(needs.judge), rollouts.is_withdrawn,
-                [this](const rollout_directive& stand) { tell_all(stand); }}) {}
+          deciders(
+              own, needs.exposed_share, ledger, counters,
+              {std::move(needs.count_targets), std::move(needs.evaluate), rollouts.is_withdrawn,
+               [this](const rollout_directive& directive) { broadcast(directive); }}) {}
 
     ~state() { *alive = false; }
     state(const state&) = delete;
@@ -83,22 +85,22 @@
 
     microseconds report_period() const {
         const auto count = static_cast<std::int64_t>(members.members());
-        return std::max(shortest_report_period, report_period_a_member * count);
+        return std::max(min_report_period, report_period_per_member * count);
     }
 
-    microseconds longest_silence() const {
-        return std::max(shortest_silence, silent_periods * report_period());
+    microseconds reply_timeout() const {
+        return std::max(min_reply_timeout, reply_timeout_periods * report_period());
     }
 
-    bool is_passed_over(instant now, const cluster_member& member) const {
-        const auto found = silent.find(member.process);
-        return member.process != own && found != silent.end() && found->second.until > now;
+    bool is_backed_off(instant now, const cluster_member& member) const {
+        const auto found = backoffs.find(member.process);
+        return member.process != own && found != backoffs.end() && found->second.until > now;
     }
 
-    /// The largest member that answers this process; nothing if there is none.
+    /// The largest member that replies to this process; empty if there is none.
     std::optional<cluster_member> choose_decider(instant now) const {
         for (cluster_member& member : members.largest_reachable(now, members.members())) {
-            if (!is_passed_over(now, member)) {
+            if (!is_backed_off(now, member)) {
                 return std::move(member);
             }
         }
@@ -107,9 +109,9 @@
 
     void tick(instant now) {
         const std::vector<rollout_order> orders = rollouts.orders();
-        const bool was_frozen = last_tick && now - *last_tick > longest_pause;
+        const bool was_frozen = last_tick && now - *last_tick > frozen_threshold;
         last_tick = now;
-        desk.keep_orders(now, orders);
+        deciders.set_orders(now, orders);
         if (orders.empty()) {
             is_decider = false;
             waiting_since.reset();
@@ -119,28 +121,28 @@
             waiting_since.reset();
         }
         ledger.start();
-        look_for_silence(now);
+        check_reply_timeout(now);
         follow(choose_decider(now));
         report(now);
-        stop_alone(now);
+        stop_independently(now);
         if (is_decider) {
             decide(now);
         }
-        look_again_soon(now);
+        schedule_early_tick(now);
     }
 
-    /// A decider that was asked and didn't answer in time is passed over for a while.
-    void look_for_silence(instant now) {
-        if (!waiting_since || now - *waiting_since <= longest_silence()) {
+    /// Skips a decider for a while if it didn't reply to a report in time.
+    void check_reply_timeout(instant now) {
+        if (!waiting_since || now - *waiting_since <= reply_timeout()) {
             return;
         }
         waiting_since.reset();
-        rest& present = silent[decider.process];
-        present.length = std::clamp(2 * present.length, first_silent_rest, longest_silent_rest);
-        present.until = now + present.length;
+        backoff& current = backoffs[decider.process];
+        current.duration = std::clamp(2 * current.duration, initial_backoff, max_backoff);
+        current.until = now + current.duration;
         counters.counter("rollout_deciders_silent_total") += 1;
         log_event(log_level::warning, "rollout_decider_silent",
-                  {{"host", decider.host}, {"waited_ms", millis_text(longest_silence())}});
+                  {{"host", decider.host}, {"waited_ms", millis_text(reply_timeout())}});
     }
 
     void follow(const std::optional<cluster_member>& chosen) {
@@ -159,30 +161,30 @@
                    {"self", is_decider ? "yes" : "no"}});
     }
 
-    /// Reports when that is due, and at once what others wait for: that this process has moved, or
-    /// found the version bad.
+    /// Sends reports when they are due, and at once when they hold news that others wait for: this
+    /// process has moved, or found the version bad.
     void report(instant now) {
-        std::vector<entry_rollouts::told_evidence> reports = rollouts.reports(now);
+        std::vector<rollout_gates::local_report> reports = rollouts.reports(now);
         bool urgent = false;
-        for (entry_rollouts::told_evidence& each : reports) {
-            // Another decider may take the move back: then only it may complete.
+        for (rollout_gates::local_report& each : reports) {
+            // Another decider may undo the move, in which case only that one may complete it.
             each.report.moved =
-                each.report.moved && follows_owner(each.report.service, each.report.order);
-            urgent = note_told(now, each.report) || urgent;
+                each.report.moved && follows_log_decider(each.report.service, each.report.order);
+            urgent = record_urgency(now, each.report) || urgent;
         }
         const bool due = !last_reported || now - *last_reported >= report_period();
         if (decider.host.empty() || (!due && !urgent)) {
             return;
         }
         last_reported = now;
-        for (const entry_rollouts::told_evidence& each : reports) {
+        for (const rollout_gates::local_report& each : reports) {
             send(now, each);
         }
     }
 
-    /// True if a report says what its predecessor didn't and can't wait.
-    bool note_told(instant now, const rollout_report& report) {
-        told_last& last = told[report.service];
+    /// True if the report differs from its predecessor in something that must be sent at once.
+    bool record_urgency(instant now, const rollout_report& report) {
+        last_report& last = last_reports[report.service];
         if (last.order != report.order) {
             last = {};
             last.order = report.order;
@@ -196,33 +198,34 @@
         return urgent;
     }
 
-    void send(instant now, const entry_rollouts::told_evidence& told_evidence) {
+    void send(instant now, const rollout_gates::local_report& local_report) {
         if (is_decider) {
-            desk.take(now, {own, told_evidence.report, told_evidence.evidence});
+            deciders.record_report(now, {own, local_report.report, local_report.evidence});
             return;
         }
         wire::Envelope message;
         *message.mutable_rollout_report() =
-            to_wire(own, told_evidence.report, told_evidence.evidence);
+            to_wire(own, local_report.report, local_report.evidence);
         bus.send(decider.endpoint, message);
         counters.counter("rollout_reports_sent_total") += 1;
         waiting_since = waiting_since.value_or(now);
     }
 
-    /// A version that this process found bad is stopped by it if nobody else does so.
-    void stop_alone(instant now) {
+    /// Rolls back a version that this process found bad if no other process does.
+    void stop_independently(instant now) {
         if (!ledger.live()) {
             return;
         }
         for (const rollout_order& order : rollouts.orders()) {
-            const auto found = told.find(order.service);
-            const bool is_due = found != told.end() && found->second.order == order.number &&
+            const auto found = last_reports.find(order.service);
+            const bool is_due = found != last_reports.end() &&
+                                found->second.order == order.number &&
                                 found->second.found_bad_since &&
-                                now - *found->second.found_bad_since >= stop_alone_after;
+                                now - *found->second.found_bad_since >= independent_stop_delay;
             const rollout_record* record = ledger.table().find(order.service);
-            const bool runs = record != nullptr && record->order == order.number &&
-                              record->state == rollout_state::running;
-            if (is_due && runs) {
+            const bool is_running = record != nullptr && record->order == order.number &&
+                                    record->state == rollout_state::running;
+            if (is_due && is_running) {
                 counters.counter("rollouts_stopped_alone_total") += 1;
                 ledger.propose({order.service, order.number, order.version,
                                 rollout_state::rolled_back, record->elapsed, own,
@@ -232,48 +235,49 @@
     }
 
     void decide(instant now) {
-        desk.decide(now, members.largest_known(members.members()), report_period());
-        for (const rollout_directive& stand : desk.stands()) {
-            rollouts.told(now, stand);
+        deciders.decide(now, members.largest_known(members.members()), report_period());
+        for (const rollout_directive& directive : deciders.directives()) {
+            rollouts.on_directive(now, directive);
         }
     }
 
-    /// Tells all processes that reported of late of a change.
-    void tell_all(const rollout_directive& stand) {
+    /// Sends a changed directive to all processes that have reported recently.
+    void broadcast(const rollout_directive& directive) {
         const instant now = monotonic_now();
-        std::erase_if(reporters,
-                      [&](const auto& each) { return now - each.second.heard > told_for; });
+        std::erase_if(reporters, [&](const auto& each) {
+            return now - each.second.last_report_at > reporter_lifetime;
+        });
         wire::Envelope message;
-        *message.mutable_rollout_stand() = to_wire(stand);
+        *message.mutable_rollout_stand() = to_wire(directive);
         for (const auto& [process, each] : reporters) {
             bus.answer(each.origin, message);
         }
         counters.counter("rollout_stands_pushed_total") += reporters.size();
     }
 
-    /// True if this process was told that a version is moved to and the end isn't there.
-    bool moves(instant now) const {
-        const std::vector<entry_rollouts::told_evidence> reports = rollouts.reports(now);
+    /// True if this process has a directive to move to a version and the rollout hasn't ended.
+    bool is_moving(instant now) const {
+        const std::vector<rollout_gates::local_report> reports = rollouts.reports(now);
         return std::any_of(reports.begin(), reports.end(),
                            [](const auto& each) { return each.phase == rollout_phase::moving; });
     }
 
-    /// The end needs all reports and words in a fraction of a second.
-    void look_again_soon(instant now) {
-        const bool is_near = is_decider ? desk.is_moving() : moves(now);
-        if (!is_near || std::exchange(looks_soon, true)) {
+    /// In the moving phase, reports and directives must arrive within a fraction of a second.
+    void schedule_early_tick(instant now) {
+        const bool near_cutover = is_decider ? deciders.has_moving() : is_moving(now);
+        if (!near_cutover || std::exchange(early_tick_scheduled, true)) {
             return;
         }
-        loop.call_after(look_near_end, [this, still = alive] {
+        loop.call_after(cutover_tick_period, [this, still = alive] {
             if (*still) {
-                looks_soon = false;
+                early_tick_scheduled = false;
                 tick(monotonic_now());
             }
         });
     }
 
     void on_report(const message_origin& origin, const wire::RolloutReport& message) {
-        std::optional<told_rollout> read = from_wire(message);
+        std::optional<process_report> read = from_wire(message);
         if (!read) {
             counters.counter("rollout_messages_damaged_total") += 1;
             return;
@@ -283,43 +287,46 @@
         reporters[read->process] = {origin, now};
         const std::string service = read->report.service;
         const std::uint64_t order = read->report.order;
-        const bool urgent = desk.take(now, std::move(*read));
+        const bool urgent = deciders.record_report(now, std::move(*read));
         if (is_decider && urgent) {
             decide(now);
         }
         answer(origin, service, order);
     }
 
-    /// The stand, or one without a version, which says only that this process is there.
+    /// Replies with the directive, or with one without a version, which only says that this process
+    /// is alive.
     void answer(const message_origin& origin, const std::string& service, std::uint64_t order) {
-        rollout_directive nothing;
-        nothing.service = service;
-        nothing.order = order;
-        const rollout_directive* stand = is_decider ? desk.stand_of(service, order) : nullptr;
+        rollout_directive placeholder;
+        placeholder.service = service;
+        placeholder.order = order;
+        const rollout_directive* directive =
+            is_decider ? deciders.directive_of(service, order) : nullptr;
         wire::Envelope message;
-        *message.mutable_rollout_stand() = to_wire(stand != nullptr ? *stand : nothing);
+        *message.mutable_rollout_stand() = to_wire(directive != nullptr ? *directive : placeholder);
         bus.answer(origin, message);
     }
 
-    /// True if the one that this process follows decides by the log too, as far as it was read
-    /// here.
-    bool follows_owner(const std::string& service, std::uint64_t order) const {
+    /// True if the log, as far as it was read here, names the same decider as the one that this
+    /// process follows.
+    bool follows_log_decider(const std::string& service, std::uint64_t order) const {
         const rollout_record* record = ledger.table().find(service);
         return record != nullptr && record->order == order && record->decider == decider.process;
     }
 
-    /// How a version is used is the word of the one that the log names; anyone may stop it.
-    bool counts(const rollout_directive& stand) const {
+    /// Only the decider that the log names may direct requests to the new version; any process may
+    /// stop it.
+    bool is_accepted(const rollout_directive& directive) const {
         const bool uses =
-            stand.phase == rollout_phase::canary || stand.phase == rollout_phase::moving;
-        return !uses || follows_owner(stand.service, stand.order);
+            directive.phase == rollout_phase::canary || directive.phase == rollout_phase::moving;
+        return !uses || follows_log_decider(directive.service, directive.order);
     }
 
-    /// Only the word of the decider that this process follows counts: one that froze and wakes may
-    /// say what is long past.
-    void on_stand(const message_origin& origin, const wire::RolloutStand& message) {
-        const std::optional<rollout_directive> stand = from_wire(message);
-        if (!stand) {
+    /// Only directives of the decider that this process follows are applied: one that was frozen
+    /// and resumes may send outdated ones.
+    void on_directive(const message_origin& origin, const wire::RolloutStand& message) {
+        const std::optional<rollout_directive> directive = from_wire(message);
+        if (!directive) {
             counters.counter("rollout_messages_damaged_total") += 1;
             return;
         }
@@ -328,11 +335,11 @@
             return;
         }
         waiting_since.reset();
-        silent.erase(decider.process);
-        if (!stand->version.empty() && counts(*stand)) {
+        backoffs.erase(decider.process);
+        if (!directive->version.empty() && is_accepted(*directive)) {
             const instant now = monotonic_now();
-            rollouts.told(now, *stand);
-            look_again_soon(now);
+            rollouts.on_directive(now, *directive);
+            schedule_early_tick(now);
         }
     }
 
@@ -340,29 +347,29 @@
     message_bus& bus;
     const token_allocator_selector& members;
     incarnation_id own;
-    own_rollouts rollouts;
+    local_rollouts rollouts;
     rollout_ledger& ledger;
     metrics& counters;
-    rollout_desk desk;
-    /// Whom this process follows, and whether that is itself.
+    rollout_deciders deciders;
+    /// The decider that this process follows, and whether that is itself.
     cluster_member decider;
     bool is_decider = false;
-    /// Deciders that didn't answer.
-    std::map<incarnation_id, rest> silent;
-    /// Since when a report waits for an answer.
+    /// Deciders that didn't reply.
+    std::map<incarnation_id, backoff> backoffs;
+    /// The time since which a report has been waiting for a reply.
     std::optional<instant> waiting_since;
     std::optional<instant> last_reported;
     std::optional<instant> last_tick;
-    std::map<std::string, told_last> told;
+    std::map<std::string, last_report> last_reports;
     std::map<incarnation_id, reporter> reporters;
-    bool looks_soon = false;
+    bool early_tick_scheduled = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 rollout_exchange::rollout_exchange(event_loop& loop, message_bus& bus,
                                    const token_allocator_selector& members, incarnation_id own,
-                                   own_rollouts rollouts, rollout_ledger& ledger, metrics& counters,
-                                   hooks needs)
+                                   local_rollouts rollouts, rollout_ledger& ledger,
+                                   metrics& counters, hooks needs)
     : state_(std::make_unique<state>(loop, bus, members, own, std::move(rollouts), ledger, counters,
                                      std::move(needs))) {}
 
@@ -372,7 +379,7 @@
     state_->tick(now);
 }
 
-bool rollout_exchange::decides() const {
+bool rollout_exchange::is_decider() const {
     return state_->is_decider;
 }
 
@@ -382,7 +389,7 @@
         return true;
     }
     if (message.has_rollout_stand()) {
-        state_->on_stand(origin, message.rollout_stand());
+        state_->on_directive(origin, message.rollout_stand());
         return true;
     }
     return false;
--- a/src/roles/gateway/rollout_exchange.hpp
+++ b/src/roles/gateway/rollout_exchange.hpp
@@ -15,63 +15,65 @@
 
 namespace wrenswitch {
 
-/// Brings the evidence of all entries to the one that decides, and its word back to them. Which one
-/// decides follows from the directory of members; two that both think so can't contradict each
-/// other, since the log takes one final state.
+/// Sends the evidence of all gateways to the deciding process and its directives back to them.
+/// Every process derives the decider from the member directory. Two processes that both take
+/// themselves for the decider can't contradict each other, since the log accepts only one final
+/// state.
 class rollout_exchange {
 public:
     struct hooks {
-        std::function<rollout_target_numbers(const rollout_order& order)> targets_of;
-        rollout_decider::evaluate_hook judge;
-        /// The share of a service's requests that a version may get which isn't proved.
+        std::function<rollout_target_counts(const rollout_order& order)> count_targets;
+        rollout_decider::evaluate_hook evaluate;
+        /// The share of a service's requests that an unproven version may get.
         double exposed_share = 0.0;
     };
 
-    /// The roll-outs as this process carries them out.
-    struct own_rollouts {
+    /// The rollouts as this process carries them out.
+    struct local_rollouts {
         std::function<std::vector<rollout_order>()> orders;
-        std::function<std::vector<entry_rollouts::told_evidence>(instant now)> reports;
-        std::function<void(instant now, const rollout_directive& stand)> told;
+        std::function<std::vector<rollout_gates::local_report>(instant now)> reports;
+        std::function<void(instant now, const rollout_directive& directive)> on_directive;
         std::function<bool(const rollout_order& order)> is_withdrawn;
     };
 
-    /// All that is referred to must outlive the exchange.
+    /// All references must outlive the exchange.
     rollout_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
-                     incarnation_id own, own_rollouts rollouts, rollout_ledger& ledger,
+                     incarnation_id own, local_rollouts rollouts, rollout_ledger& ledger,
                      metrics& counters, hooks needs);
 
-    /// The same for a process's own roll-outs as they are.
+    /// The same for the rollouts of a rollout_gates object.
     rollout_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
-                     incarnation_id own, entry_rollouts& rollouts, rollout_ledger& ledger,
+                     incarnation_id own, rollout_gates& rollouts, rollout_ledger& ledger,
                      metrics& counters, hooks needs)
-        : rollout_exchange(loop, bus, members, own, view_of(rollouts), ledger, counters,
+        : rollout_exchange(loop, bus, members, own, make_local_rollouts(rollouts), ledger, counters,
                            std::move(needs)) {}
 
     ~rollout_exchange();
     rollout_exchange(const rollout_exchange&) = delete;
     rollout_exchange& operator=(const rollout_exchange&) = delete;
 
-    /// To be called several times a second: reports, judges and tells what is due. Looks more often
-    /// by itself while an end is near.
+    /// To be called several times a second: sends the reports, decisions and directives that are
+    /// due. Schedules additional ticks by itself while a rollout is in the moving phase.
     void tick(instant now);
 
-    /// Takes a message. False if it isn't for the exchange.
+    /// Handles a message. False if it isn't of a kind that the exchange handles.
     bool on_message(const message_origin& origin, const wire::Envelope& message);
 
-    /// True if this process decides, as far as it knows.
-    bool decides() const;
+    /// True if this process takes itself for the decider.
+    bool is_decider() const;
 
 private:
-    static own_rollouts view_of(entry_rollouts& rollouts) {
-        return {
-            [&rollouts] { return rollouts.orders(); },
-            [&rollouts](instant now) { return rollouts.reports(now); },
-            [&rollouts](instant now, const rollout_directive& stand) { rollouts.told(now, stand); },
-            [&rollouts](const rollout_order& order) {
-                const rollout_gate* gate = rollouts.gate_of(order.service);
-                return gate != nullptr && gate->order().number == order.number &&
-                       gate->directive().phase == rollout_phase::rolled_back;
-            }};
+    static local_rollouts make_local_rollouts(rollout_gates& rollouts) {
+        return {[&rollouts] { return rollouts.orders(); },
+                [&rollouts](instant now) { return rollouts.reports(now); },
+                [&rollouts](instant now, const rollout_directive& directive) {
+                    rollouts.on_directive(now, directive);
+                },
+                [&rollouts](const rollout_order& order) {
+                    const rollout_gate* gate = rollouts.gate_of(order.service);
+                    return gate != nullptr && gate->order().number == order.number &&
+                           gate->directive().phase == rollout_phase::rolled_back;
+                }};
     }
 
     struct state;
--- a/src/roles/gateway/run_news_sender.cpp
+++ b/src/roles/gateway/run_news_sender.cpp
@@ -7,37 +7,38 @@
 namespace wrenswitch {
 namespace {
 
-/// News of runs wait this long for company: a part of what reading a usual prompt takes.
-constexpr microseconds news_wait = milliseconds(20);
+/// How long updates are collected before they are sent; a fraction of the prefill time of a typical
+/// prompt.
+constexpr microseconds batch_delay = milliseconds(20);
 
 }  // namespace
 
-run_news_sender::run_news_sender(event_loop& loop, message_bus& bus, metrics& counters)
+attempt_update_sender::attempt_update_sender(event_loop& loop, message_bus& bus, metrics& counters)
     : loop_(loop), bus_(bus), counters_(counters) {}
 
-run_news_sender::~run_news_sender() {
+attempt_update_sender::~attempt_update_sender() {
     *alive_ = false;
 }
 
-void run_news_sender::tell(const std::string& endpoint, const wire::RunNews& news) {
-    std::unique_ptr<wire::RunNewsBatch>& batch = news_[endpoint];
+void attempt_update_sender::enqueue(const std::string& endpoint, const wire::RunNews& update) {
+    std::unique_ptr<wire::RunNewsBatch>& batch = batches_[endpoint];
     if (!batch) {
         batch = std::make_unique<wire::RunNewsBatch>();
     }
-    *batch->add_runs() = news;
-    if (std::exchange(sending_planned_, true)) {
+    *batch->add_runs() = update;
+    if (std::exchange(send_scheduled_, true)) {
         return;
     }
-    loop_.call_after(news_wait, [this, alive = alive_] {
+    loop_.call_after(batch_delay, [this, alive = alive_] {
         if (*alive) {
             send();
         }
     });
 }
 
-void run_news_sender::send() {
-    sending_planned_ = false;
-    for (const auto& [endpoint, batch] : std::exchange(news_, {})) {
+void attempt_update_sender::send() {
+    send_scheduled_ = false;
+    for (const auto& [endpoint, batch] : std::exchange(batches_, {})) {
         wire::Envelope message;
         message.mutable_run_news()->Swap(batch.get());
         bus_.send(endpoint, message);
--- a/src/roles/gateway/run_news_sender.hpp
+++ b/src/roles/gateway/run_news_sender.hpp
@@ -15,18 +15,18 @@
 
 namespace wrenswitch {
 
-/// Tells keepers how runs fare: news wait a little for company, since each message costs as much as
-/// many of them.
-class run_news_sender {
+/// Sends coordinators updates on the progress of attempts. Updates are batched for a short time,
+/// since one message costs as much as many updates.
+class attempt_update_sender {
 public:
-    /// All that is referred to must outlive the sender.
-    run_news_sender(event_loop& loop, message_bus& bus, metrics& counters);
-    ~run_news_sender();
-    run_news_sender(const run_news_sender&) = delete;
-    run_news_sender& operator=(const run_news_sender&) = delete;
+    /// All references must outlive the sender.
+    attempt_update_sender(event_loop& loop, message_bus& bus, metrics& counters);
+    ~attempt_update_sender();
+    attempt_update_sender(const attempt_update_sender&) = delete;
+    attempt_update_sender& operator=(const attempt_update_sender&) = delete;
 
-    /// Puts news into the batch for a keeper.
-    void tell(const std::string& endpoint, const wire::RunNews& news);
+    /// Adds an update to the batch for the coordinator at this endpoint.
+    void enqueue(const std::string& endpoint, const wire::RunNews& update);
 
 private:
     void send();
@@ -34,9 +34,9 @@
     event_loop& loop_;
     message_bus& bus_;
     metrics& counters_;
-    /// What keepers are to be told, by where they are reached.
-    std::map<std::string, std::unique_ptr<wire::RunNewsBatch>> news_;
-    bool sending_planned_ = false;
+    /// The batches to be sent, by endpoint of the coordinator.
+    std::map<std::string, std::unique_ptr<wire::RunNewsBatch>> batches_;
+    bool send_scheduled_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/roles/gateway/signal_exchange.hpp
+++ b/src/roles/gateway/signal_exchange.hpp
@@ -24,44 +24,46 @@
 
 namespace wrenswitch {
 
-/// Takes in what targets say of themselves with their answers, and tells the other entries what
-/// changed. Delivery isn't promised, and no bound rests on it: who wasn't told hears it from the
-/// target itself. An entry that doesn't send to a limited target hears of the limit's end from
-/// those that do; it asks one of them from time to time.
+/// Applies what targets report about themselves in their responses (load, limits, draining,
+/// backoff) and tells the other gateways of changes. Delivery isn't guaranteed and no limit depends
+/// on it: a gateway that wasn't told learns it from the target itself. A gateway that sends nothing
+/// to a limited target learns of the end of the limit from those that do; it queries one of them
+/// from time to time.
 class signal_exchange {
 public:
-    /// All that is referred to must outlive this.
+    /// All references must outlive the exchange.
     signal_exchange(event_loop& loop, message_bus& bus, const token_allocator_selector& members,
                     target_pool& targets, rate_limited_log& events, metrics& counters);
     ~signal_exchange();
     signal_exchange(const signal_exchange&) = delete;
     signal_exchange& operator=(const signal_exchange&) = delete;
 
-    /// An answer of this life of a target came to a request that was sent then. What a life says
-    /// that has ended meanwhile counts no more.
-    void heard(instant now, const target_incarnation& life, instant sent, std::string_view request,
-               const target_signals& signals);
+    /// An incarnation of a target responded to a request that was sent at `sent`. Signals of an
+    /// incarnation that has been replaced are ignored.
+    void on_response(instant now, const target_incarnation& incarnation, instant sent,
+                     std::string_view request, const target_signals& signals);
 
-    /// A request goes to a target.
-    void sent(instant now, std::string_view target);
+    /// A request is being sent to a target.
+    void record_sent(instant now, std::string_view target);
 
-    /// Takes a message. False if it isn't for this.
+    /// Handles a message. False if it isn't of a kind that the exchange handles.
     bool on_message(const message_origin& origin, const wire::Envelope& message);
 
     /// To be called several times a second.
     void tick(instant now);
 
 private:
-    void limit_heard(instant now, const target_incarnation& life, instant sent,
+    void apply_limit(instant now, const target_incarnation& incarnation, instant sent,
                      std::string_view request, const target_signals& signals);
-    void leaving_heard(instant now, const target_incarnation& life, std::string_view request);
-    void rest_heard(instant now, const target_incarnation& life, std::string_view request,
-                    const target_signals& signals);
-    void signals_told(instant now, const wire::TargetSignals& news);
-    void limit_told(instant now, const wire::TargetSignal& word);
-    void tell_soon(const std::string& target);
-    void tell_others();
-    void ask_senders(instant now);
+    void apply_draining(instant now, const target_incarnation& incarnation,
+                        std::string_view request);
+    void apply_backoff(instant now, const target_incarnation& incarnation, std::string_view request,
+                       const target_signals& signals);
+    void apply_peer_signals(instant now, const wire::TargetSignals& batch);
+    void apply_peer_limit(instant now, const wire::TargetSignal& signal);
+    void schedule_broadcast(const std::string& target);
+    void broadcast();
+    void query_senders(instant now);
     wire::TargetSignals signals_of(instant now, std::span<const std::string> targets) const;
 
     event_loop& loop_;
@@ -71,9 +73,9 @@
     rate_limited_log& events_;
     metrics& counters_;
     random_source random_;
-    /// Targets of which the others are to be told.
-    std::set<std::string> untold_;
-    instant next_ask_{};
+    /// Targets whose signals are to be sent to the other gateways.
+    std::set<std::string> unshared_;
+    instant next_query_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/roles/gateway/suspect_exchange.cpp
+++ b/src/roles/gateway/suspect_exchange.cpp
@@ -11,39 +11,41 @@
 namespace wrenswitch {
 namespace {
 
-/// From so many ends on other entries are told at once: the next target may be theirs.
-constexpr std::size_t urgent_ends = 2;
+/// From this many crashes on, the other gateways are told at once, since the next target may be
+/// theirs.
+constexpr std::size_t urgent_crashes = 2;
 
-/// Fewer ends aren't told in lines of their own: all requests that stood beside an end have one,
-/// which was a thousand lines at each of thirty entries on a day of waves of ends. The line of the
-/// end names them.
-constexpr std::size_t told_ends = 2;
+/// Requests with fewer crashes get no log line of their own. Every request in flight at a crashed
+/// target counts one crash, which was a thousand lines at each of thirty gateways on a day with
+/// waves of crashes. The line about the crash names the requests.
+constexpr std::size_t logged_crashes = 2;
 
-/// How long whoever saw an end has to write it before others do, and over how long these spread.
-constexpr microseconds writer_wait = milliseconds(300);
+/// How long the gateway that saw a crash has to write it before others do, and the range over which
+/// those spread their writes.
+constexpr microseconds writer_delay = milliseconds(300);
 
-/// How often evidence is looked through for what is too old; it is kept for hours.
-constexpr microseconds drop_period = seconds(5);
+/// How often expired evidence is removed; it is kept for hours.
+constexpr microseconds eviction_period = seconds(5);
 
-/// Messages come from other processes of the fleet, and may be damaged all the same.
-constexpr int most_ends_in_a_message = 256;
+/// Bounds messages from other processes, which may be damaged.
+constexpr int max_crashes_per_message = 256;
 
-wire::SuspectEnd to_wire(const crash_evidence& end) {
+wire::SuspectEnd to_wire(const crash_evidence& crash) {
     wire::SuspectEnd message;
-    message.set_request_high(end.request.high);
-    message.set_request_low(end.request.low);
-    message.set_target(end.incarnation.target);
-    message.set_started(end.incarnation.started);
+    message.set_request_high(crash.request.high);
+    message.set_request_low(crash.request.low);
+    message.set_target(crash.incarnation.target);
+    message.set_started(crash.incarnation.started);
     return message;
 }
 
-wire::Envelope news_of(std::span<const crash_evidence> ends, bool cleared) {
+wire::Envelope make_message(std::span<const crash_evidence> crashes, bool cleared) {
     wire::Envelope message;
-    wire::SuspectNews& news = *message.mutable_suspect_news();
-    news.set_cleared(cleared);
-    const std::size_t told = std::min<std::size_t>(ends.size(), most_ends_in_a_message);
-    for (const crash_evidence& end : ends.first(told)) {
-        *news.add_ends() = to_wire(end);
+    wire::SuspectNews& batch = *message.mutable_suspect_news();
+    batch.set_cleared(cleared);
+    const std::size_t count = std::min<std::size_t>(crashes.size(), max_crashes_per_message);
+    for (const crash_evidence& crash : crashes.first(count)) {
+        *batch.add_ends() = to_wire(crash);
     }
     return message;
 }
@@ -56,97 +58,100 @@
 
 suspect_exchange::suspect_exchange(event_loop& loop, keyed_log& log, std::string log_name,
                                    message_bus& bus, const token_allocator_selector& members,
-                                   metrics& counters, hooks called)
+                                   metrics& counters, hooks callbacks)
     : loop_(loop),
       bus_(bus),
       members_(members),
       counters_(counters),
-      hooks_(std::move(called)),
+      hooks_(std::move(callbacks)),
       log_(loop, log, std::move(log_name), members.own_host(), counters,
-           {[this](const crash_evidence& end) {
-                if (!learn(end, "log")) {
-                    see_to_drop(end);
+           {[this](const crash_evidence& crash) {
+                if (!add_evidence(crash, "log")) {
+                    ensure_removed_from_log(crash);
                 }
             },
-            [this](const crash_evidence& end) { forget(end, "log"); },
-            [this](std::span<const crash_evidence> ends) { tell_unwritten(ends); },
+            [this](const crash_evidence& crash) { remove_evidence(crash, "log"); },
+            [this](std::span<const crash_evidence> crashes) { broadcast_unwritten(crashes); },
             [this](bool reachable) { hooks_.log_reachable(reachable); }}) {}
 
 suspect_exchange::~suspect_exchange() {
     *alive_ = false;
 }
 
-suspicion suspect_exchange::held_of(const digest& request) const {
-    return any() ? table_.suspicion_of(monotonic_now(), request) : suspicion::none;
+suspicion suspect_exchange::suspicion_of(const digest& request) const {
+    return has_suspects() ? table_.suspicion_of(monotonic_now(), request) : suspicion::none;
 }
 
-void suspect_exchange::ended(const target_incarnation& life, std::span<const digest> requests) {
-    std::vector<crash_evidence> news;
+void suspect_exchange::record_crash(const target_incarnation& incarnation,
+                                    std::span<const digest> requests) {
+    std::vector<crash_evidence> added;
     std::vector<crash_evidence> urgent;
     for (const digest& request : requests) {
-        const crash_evidence end{request, life};
-        if (!learn(end, "own run")) {
+        const crash_evidence crash{request, incarnation};
+        if (!add_evidence(crash, "own run")) {
             continue;
         }
-        news.push_back(end);
+        added.push_back(crash);
         if (is_urgent(request)) {
-            urgent.push_back(end);
+            urgent.push_back(crash);
         } else {
-            untold_.insert(end);
+            unshared_.insert(crash);
         }
     }
-    log_.add(news);
-    tell_others(urgent, false);
+    log_.add(added);
+    broadcast(urgent, false);
 }
 
-/// A dark log takes nothing and tells nobody. Each end is told once, by the one that saw it: a
-/// fleet of 340 entries that all told all they knew would send 115,000 messages a time.
-void suspect_exchange::tell_unwritten(std::span<const crash_evidence> ends) {
+/// While the log is unreachable it accepts nothing and informs no one. Each crash is sent once, by
+/// the gateway that saw it: in a fleet of 340 gateways that all sent everything they knew, each
+/// round would take 115,000 messages.
+void suspect_exchange::broadcast_unwritten(std::span<const crash_evidence> crashes) {
     std::vector<crash_evidence> unknown;
-    for (const crash_evidence& end : ends) {
-        if (untold_.erase(end) > 0) {
-            unknown.push_back(end);
+    for (const crash_evidence& crash : crashes) {
+        if (unshared_.erase(crash) > 0) {
+            unknown.push_back(crash);
         }
     }
-    tell_others(unknown, false);
+    broadcast(unknown, false);
 }
 
 bool suspect_exchange::is_urgent(const digest& request) const {
-    return table_.crash_count(request) >= urgent_ends;
+    return table_.crash_count(request) >= urgent_crashes;
 }
 
-bool suspect_exchange::is_told(const digest& request) const {
-    return table_.crash_count(request) >= told_ends;
+bool suspect_exchange::is_logged(const digest& request) const {
+    return table_.crash_count(request) >= logged_crashes;
 }
 
-/// A request that has ended well of late stood beside. Without this, callers that repeat one poll
-/// at many targets would have it quarantined when three of them end in the same moment.
-bool suspect_exchange::learn(const crash_evidence& end, std::string_view source) {
+/// A request that was completed recently was only in flight beside the one that caused the crash.
+/// Without this, callers that repeat one poll at many targets would have it quarantined when three
+/// of them crash at the same moment.
+bool suspect_exchange::add_evidence(const crash_evidence& crash, std::string_view source) {
     const instant now = monotonic_now();
-    if (table_.is_proven(now, end.request)) {
+    if (table_.is_proven(now, crash.request)) {
         counters_.counter("gateway_suspects_proven_total") += 1;
         return false;
     }
-    const suspicion before = table_.suspicion_of(now, end.request);
-    if (!table_.add(now, end)) {
+    const suspicion before = table_.suspicion_of(now, crash.request);
+    if (!table_.add(now, crash)) {
         return true;
     }
     counters_.counter("gateway_suspect_ends_total") += 1;
-    if (is_told(end.request)) {
+    if (is_logged(crash.request)) {
         log_event(log_level::information, "request_suspected",
-                  {{"fingerprint", end.request.to_hex()},
-                   {"held", std::string(name_of(table_.suspicion_of(now, end.request)))},
-                   {"ends", std::to_string(table_.crash_count(end.request))},
-                   {"target", end.incarnation.target},
-                   {"started", std::to_string(end.incarnation.started)},
+                  {{"fingerprint", crash.request.to_hex()},
+                   {"held", std::string(name_of(table_.suspicion_of(now, crash.request)))},
+                   {"ends", std::to_string(table_.crash_count(crash.request))},
+                   {"target", crash.incarnation.target},
+                   {"started", std::to_string(crash.incarnation.started)},
                    {"known_from", std::string(source)}});
     }
-    quarantine_if_due(end.request, before);
+    quarantine_if_due(crash.request, before);
     return true;
 }
 
 void suspect_exchange::quarantine_if_due(const digest& request, suspicion before) {
-    if (before == suspicion::quarantined || held_of(request) != suspicion::quarantined) {
+    if (before == suspicion::quarantined || suspicion_of(request) != suspicion::quarantined) {
         return;
     }
     counters_.counter("gateway_requests_quarantined_total") += 1;
@@ -160,11 +165,11 @@
     });
 }
 
-/// Others may do the same at the same time, and see what was done meanwhile.
-void suspect_exchange::after_writer(std::function<void()> action) {
+/// Delays an action by a random time, so that it can see what other gateways have done meanwhile.
+void suspect_exchange::after_writer_delay(std::function<void()> action) {
     const auto spread =
-        static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(writer_wait.count())));
-    loop_.call_after(writer_wait + microseconds(spread),
+        static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(writer_delay.count())));
+    loop_.call_after(writer_delay + microseconds(spread),
                      [action = std::move(action), alive = alive_] {
                          if (*alive) {
                              action();
@@ -172,49 +177,50 @@
                      });
 }
 
-/// Whoever saw an end may be gone before the log takes it. Without this, an entry that started when
-/// a dark log was back sent a request to a fourth target that two others held in quarantine.
-void suspect_exchange::see_to_log(const crash_evidence& end) {
-    after_writer([this, end] {
-        if (!log_.holds(end) && table_.contains(end)) {
-            log_.add({&end, 1});
+/// The gateway that saw a crash may be gone before the log accepts the record. Without this, a
+/// gateway that started after the log became reachable again sent a request to a fourth target
+/// although two other gateways had it in quarantine.
+void suspect_exchange::ensure_logged(const crash_evidence& crash) {
+    after_writer_delay([this, crash] {
+        if (!log_.holds(crash) && table_.contains(crash)) {
+            log_.add({&crash, 1});
         }
     });
 }
 
-/// Only this entry may know that the request has ended well.
-void suspect_exchange::see_to_drop(const crash_evidence& end) {
-    after_writer([this, end] {
-        if (log_.holds(end)) {
-            log_.drop({&end, 1});
+/// Only this gateway may know that the request was completed.
+void suspect_exchange::ensure_removed_from_log(const crash_evidence& crash) {
+    after_writer_delay([this, crash] {
+        if (log_.holds(crash)) {
+            log_.drop({&crash, 1});
         }
     });
 }
 
-void suspect_exchange::forget(const crash_evidence& end, std::string_view source) {
-    const suspicion before = held_of(end.request);
-    const bool told = is_told(end.request);
-    if (!table_.remove(end) || !told) {
+void suspect_exchange::remove_evidence(const crash_evidence& crash, std::string_view source) {
+    const suspicion before = suspicion_of(crash.request);
+    const bool was_logged = is_logged(crash.request);
+    if (!table_.remove(crash) || !was_logged) {
         return;
     }
     log_event(log_level::information, "request_end_taken_back",
-              {{"fingerprint", end.request.to_hex()},
+              {{"fingerprint", crash.request.to_hex()},
                {"held_before", std::string(name_of(before))},
-               {"ends", std::to_string(table_.crash_count(end.request))},
-               {"target", end.incarnation.target},
+               {"ends", std::to_string(table_.crash_count(crash.request))},
+               {"target", crash.incarnation.target},
                {"known_from", std::string(source)}});
 }
 
-void suspect_exchange::ended_well(const digest& request) {
+void suspect_exchange::record_success(const digest& request) {
     const bool urgent = is_urgent(request) || !log_.reachable();
-    const bool told = is_told(request);
-    const suspicion before = held_of(request);
+    const bool was_logged = is_logged(request);
+    const suspicion before = suspicion_of(request);
     const std::vector<crash_evidence> cleared = table_.record_success(monotonic_now(), request);
     if (cleared.empty()) {
         return;
     }
     counters_.counter("gateway_suspects_cleared_total") += 1;
-    if (told) {
+    if (was_logged) {
         log_event(log_level::information, "request_cleared",
                   {{"fingerprint", request.to_hex()},
                    {"held_before", std::string(name_of(before))},
@@ -222,15 +228,15 @@
     }
     log_.drop(cleared);
     if (urgent) {
-        tell_others(cleared, true);
+        broadcast(cleared, true);
     }
 }
 
-void suspect_exchange::tell_others(std::span<const crash_evidence> ends, bool cleared) {
-    if (ends.empty()) {
+void suspect_exchange::broadcast(std::span<const crash_evidence> crashes, bool cleared) {
+    if (crashes.empty()) {
         return;
     }
-    const wire::Envelope message = news_of(ends, cleared);
+    const wire::Envelope message = make_message(crashes, cleared);
     for (const cluster_member& member : members_.largest_known(members_.members())) {
         if (member.host != members_.own_host()) {
             bus_.send(member.endpoint, message);
@@ -242,44 +248,44 @@
     if (!message.has_suspect_news()) {
         return false;
     }
-    const wire::SuspectNews& news = message.suspect_news();
-    if (news.ends_size() > most_ends_in_a_message) {
+    const wire::SuspectNews& batch = message.suspect_news();
+    if (batch.ends_size() > max_crashes_per_message) {
         counters_.counter("gateway_suspect_news_refused_total") += 1;
         log_event(log_level::error, "suspect_news_refused",
-                  {{"ends", std::to_string(news.ends_size())}});
+                  {{"ends", std::to_string(batch.ends_size())}});
         return true;
     }
-    for (const wire::SuspectEnd& end : news.ends()) {
-        if (end.target().empty()) {
+    for (const wire::SuspectEnd& crash : batch.ends()) {
+        if (crash.target().empty()) {
             continue;
         }
-        if (news.cleared()) {
-            forget(from_wire(end), "other entry");
+        if (batch.cleared()) {
+            remove_evidence(from_wire(crash), "other entry");
         } else {
-            take_news(origin, from_wire(end));
+            on_peer_evidence(origin, from_wire(crash));
         }
     }
     return true;
 }
 
-void suspect_exchange::take_news(const message_origin& origin, const crash_evidence& end) {
-    if (learn(end, "other entry")) {
-        see_to_log(end);
+void suspect_exchange::on_peer_evidence(const message_origin& origin, const crash_evidence& crash) {
+    if (add_evidence(crash, "other entry")) {
+        ensure_logged(crash);
         return;
     }
-    see_to_drop(end);
-    bus_.answer(origin, news_of({&end, 1}, true));
+    ensure_removed_from_log(crash);
+    bus_.answer(origin, make_message({&crash, 1}, true));
 }
 
-/// The log is cleaned by one entry alone, the largest that answers.
+/// Only one gateway cleans up the log, the largest reachable one.
 void suspect_exchange::tick(instant now) {
     counters_.gauge("gateway_suspects") = static_cast<double>(table_.size());
-    if (now - dropped_at_ < drop_period) {
+    if (now - last_eviction_ < eviction_period) {
         return;
     }
-    dropped_at_ = now;
-    std::erase_if(untold_, [this](const crash_evidence& end) {
-        return log_.holds(end) || !table_.contains(end);
+    last_eviction_ = now;
+    std::erase_if(unshared_, [this](const crash_evidence& crash) {
+        return log_.holds(crash) || !table_.contains(crash);
     });
     const std::vector<crash_evidence> dropped = table_.evict_expired(now);
     if (dropped.empty()) {
--- a/src/roles/gateway/suspect_exchange.hpp
+++ b/src/roles/gateway/suspect_exchange.hpp
@@ -17,66 +17,68 @@
 
 namespace wrenswitch {
 
-/// What the fleet knows of requests that may have ended their targets, as one entry has it. Ends
-/// go into the log, from which every entry reads them, also one that has just started; what is
-/// urgent, or can't go there now, is told to the other entries besides.
+/// A gateway's view of the requests that may have crashed their targets. Crashes are written to a
+/// log that every gateway reads, also one that has just started. Urgent ones, and those that can't
+/// be logged now, are sent to the other gateways as well.
 class suspect_exchange {
 public:
     struct hooks {
-        /// A request is sent to no target any more. Not called from within.
+        /// A request is quarantined: it is sent to no target any more. Called from the event loop,
+        /// never from within a method of this class.
         std::function<void(const digest& request)> quarantined;
         std::function<void(bool reachable)> log_reachable;
     };
 
-    /// All that is referred to must outlive the exchange.
+    /// All references must outlive the exchange.
     suspect_exchange(event_loop& loop, keyed_log& log, std::string log_name, message_bus& bus,
-                     const token_allocator_selector& members, metrics& counters, hooks called);
+                     const token_allocator_selector& members, metrics& counters, hooks callbacks);
     ~suspect_exchange();
     suspect_exchange(const suspect_exchange&) = delete;
     suspect_exchange& operator=(const suspect_exchange&) = delete;
 
     void start() { log_.start(); }
 
-    /// True once the log was read to its end, or if it doesn't answer: whoever starts while it is
-    /// dark serves what it can, and learns from the others and from its own runs meanwhile.
+    /// True once the log was read to its end, or while it is unreachable: a gateway that starts
+    /// then serves what it can and learns from the other gateways and its own attempts.
     bool ready() const { return log_.live() || !log_.reachable(); }
 
-    /// A target's life ended while these requests were under way at it from this entry.
-    void ended(const target_incarnation& life, std::span<const digest> requests);
+    /// An incarnation of a target crashed while these requests of this gateway were in flight at
+    /// it.
+    void record_crash(const target_incarnation& incarnation, std::span<const digest> requests);
 
-    /// A request of this entry's ended well.
-    void ended_well(const digest& request);
+    /// A request of this gateway was completed without a crash.
+    void record_success(const digest& request);
 
-    /// False if nothing is held against any request.
-    bool any() const { return table_.size() > 0; }
+    /// False if no request is under suspicion.
+    bool has_suspects() const { return table_.size() > 0; }
 
-    suspicion held_of(const digest& request) const;
-    std::size_t ends_of(const digest& request) const { return table_.crash_count(request); }
+    suspicion suspicion_of(const digest& request) const;
+    std::size_t crash_count(const digest& request) const { return table_.crash_count(request); }
 
-    /// A suspected request is about to be sent. False if it is under way from this entry already:
-    /// until it is known whether that ends its target, it goes nowhere else.
-    bool begin_alone(const digest& request) { return alone_.insert(request).second; }
-    void end_alone(const digest& request) { alone_.erase(request); }
+    /// Begins an attempt of a suspected request. False if this gateway already has one in flight:
+    /// until it is known whether that crashes its target, the request is sent nowhere else.
+    bool try_begin_exclusive(const digest& request) { return exclusive_.insert(request).second; }
+    void end_exclusive(const digest& request) { exclusive_.erase(request); }
 
-    /// Takes a message. False if it isn't for the exchange.
+    /// Handles a message. False if it isn't of a kind that the exchange handles.
     bool on_message(const message_origin& origin, const wire::Envelope& message);
 
     /// To be called several times a second.
     void tick(instant now);
 
 private:
-    /// False if the request has ended well here of late, so that nothing is held against it.
-    bool learn(const crash_evidence& end, std::string_view source);
+    /// False if the request was completed here recently, so that the evidence doesn't count.
+    bool add_evidence(const crash_evidence& crash, std::string_view source);
     void quarantine_if_due(const digest& request, suspicion before);
-    void take_news(const message_origin& origin, const crash_evidence& end);
-    void forget(const crash_evidence& end, std::string_view source);
-    void see_to_log(const crash_evidence& end);
-    void see_to_drop(const crash_evidence& end);
-    void after_writer(std::function<void()> action);
-    void tell_unwritten(std::span<const crash_evidence> ends);
-    void tell_others(std::span<const crash_evidence> ends, bool cleared);
+    void on_peer_evidence(const message_origin& origin, const crash_evidence& crash);
+    void remove_evidence(const crash_evidence& crash, std::string_view source);
+    void ensure_logged(const crash_evidence& crash);
+    void ensure_removed_from_log(const crash_evidence& crash);
+    void after_writer_delay(std::function<void()> action);
+    void broadcast_unwritten(std::span<const crash_evidence> crashes);
+    void broadcast(std::span<const crash_evidence> crashes, bool cleared);
     bool is_urgent(const digest& request) const;
-    bool is_told(const digest& request) const;
+    bool is_logged(const digest& request) const;
 
     event_loop& loop_;
     message_bus& bus_;
@@ -86,10 +88,10 @@
     random_source random_;
     suspect_table table_;
     suspect_log log_;
-    std::set<digest> alone_;
-    /// Ends that this entry saw and nobody else knows of yet, as far as it can tell.
-    std::set<crash_evidence> untold_;
-    instant dropped_at_{};
+    std::set<digest> exclusive_;
+    /// Crashes that this gateway saw and, as far as it knows, no other process knows of.
+    std::set<crash_evidence> unshared_;
+    instant last_eviction_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
