--- a/src/roles/gateway/target_ends.cpp
+++ b/src/roles/gateway/target_ends.cpp
@@ -9,147 +9,152 @@
 namespace wrenswitch {
 namespace {
 
-/// A host answers for a process that is gone within a round trip.
-constexpr microseconds longest_probe = milliseconds(400);
+/// A host refuses connections for a process that is gone within one round trip.
+constexpr microseconds probe_timeout = milliseconds(400);
 
-/// Nothing listens there for good if that is so once more after this time. A target that is
-/// crowded may turn single connections away, and one that ended is away for seconds.
-constexpr microseconds between_probes = milliseconds(150);
-constexpr unsigned refusals_of_an_end = 2;
+/// A second refusal after this time confirms the crash. An overloaded target may refuse single
+/// connections, while one that crashed is away for seconds.
+constexpr microseconds probe_interval = milliseconds(150);
+constexpr unsigned refusals_for_crash = 2;
 
-/// How long a target that doesn't accept isn't asked anew for each run that breaks. One that did is
-/// asked at once: it may have ended since.
-constexpr microseconds answer_life = milliseconds(500);
+/// How long a target that didn't accept a connection isn't probed again for further interrupted
+/// attempts. One that accepted is probed at once, since it may have crashed since.
+constexpr microseconds probe_result_lifetime = milliseconds(500);
 
-/// What a target sent before its end may be read behind the end of another connection to it, within
-/// a turn or two of the loop. Meant to be ample; not measured.
-constexpr microseconds longest_unread = milliseconds(120);
+/// Data that a target sent before it crashed may be read after another of its connections was seen
+/// to close, within an iteration or two of the event loop. A generous bound.
+constexpr microseconds unread_data_window = milliseconds(120);
 
-/// Requests that a line names; all are counted.
-constexpr std::size_t most_told = 6;
+/// Requests named in one log line; all of them are counted.
+constexpr std::size_t max_logged_requests = 6;
 
-std::string names_of(std::span<const digest> requests) {
-    std::string names;
-    for (const digest& request : requests.first(std::min(most_told, requests.size()))) {
-        names += (names.empty() ? "" : ",") + request.to_hex();
+std::string fingerprints_of(std::span<const digest> requests) {
+    std::string fingerprints;
+    for (const digest& request : requests.first(std::min(max_logged_requests, requests.size()))) {
+        fingerprints += (fingerprints.empty() ? "" : ",") + request.to_hex();
     }
-    return names;
+    return fingerprints;
 }
 
 }  // namespace
 
-target_incarnation life_of(const gateway_target& target) {
+target_incarnation incarnation_of(const gateway_target& target) {
     return {target.id, target.started.value_or(0)};
 }
 
-/// A target that leaves, or left the list, ends as planned.
-void target_ends::broke(instant now, const target_incarnation& life, const digest& request) {
+/// A draining or unlisted target ends as planned.
+void target_crash_detector::record_interrupted(instant now, const target_incarnation& incarnation,
+                                               const digest& request) {
     counters_.counter("gateway_runs_broken_total") += 1;
-    const gateway_target* target = targets_.find(life.target);
-    if (target == nullptr || target->draining || !targets_.is_listed(life.target)) {
+    const gateway_target* target = targets_.find(incarnation.target);
+    if (target == nullptr || target->draining || !targets_.is_listed(incarnation.target)) {
         return;
     }
-    runs_.record_interrupted(now, life, request);
-    if (target->started.value_or(0) > life.started) {
-        end(life, "restarted");
+    attempts_.record_interrupted(now, incarnation, request);
+    if (target->started.value_or(0) > incarnation.started) {
+        report_crash(incarnation, "restarted");
         return;
     }
-    question& about = questions_[life];
-    const bool is_asked = about.asked && now - *about.asked <= answer_life && !about.accepted;
-    if (about.probe == nullptr && !is_asked) {
-        about = {};
-        about.broke = now;
-        ask(life);
+    probe_state& state = probes_[incarnation];
+    const bool recently_probed =
+        state.probed_at && now - *state.probed_at <= probe_result_lifetime && !state.accepted;
+    if (state.probe == nullptr && !recently_probed) {
+        state = {};
+        state.interrupted_at = now;
+        start_probe(incarnation);
     }
 }
 
-void target_ends::ask(const target_incarnation& life) {
-    const gateway_target* target = targets_.find(life.target);
+void target_crash_detector::start_probe(const target_incarnation& incarnation) {
+    const gateway_target* target = targets_.find(incarnation.target);
     const result<http_address> address =
         http_address::parse(target == nullptr ? std::string_view{} : target->address);
     if (!address) {
         return;
     }
-    question& about = questions_[life];
-    about.asked = monotonic_now();
+    probe_state& state = probes_[incarnation];
+    state.probed_at = monotonic_now();
     counters_.counter("gateway_target_probes_total") += 1;
-    about.probe = std::make_unique<connection_probe>(
-        loop_, address.value(), longest_probe,
-        [this, life](probe_answer answer) { answered(life, answer); });
+    state.probe = std::make_unique<connection_probe>(
+        loop_, address.value(), probe_timeout,
+        [this, incarnation](probe_answer result) { on_probe_result(incarnation, result); });
 }
 
-void target_ends::answered(const target_incarnation& life, probe_answer answer) {
-    const auto found = questions_.find(life);
-    if (found == questions_.end()) {
+void target_crash_detector::on_probe_result(const target_incarnation& incarnation,
+                                            probe_answer result) {
+    const auto found = probes_.find(incarnation);
+    if (found == probes_.end()) {
         return;
     }
-    question& about = found->second;
-    // The probe is still on the stack.
-    loop_.call_after(microseconds(0),
-                     [kept = std::shared_ptr<connection_probe>(std::move(about.probe))] {});
-    about.accepted = answer == probe_answer::accepted;
-    about.refusals += answer == probe_answer::refused ? 1 : 0;
-    if (answer != probe_answer::refused || !runs_.has_interrupted(life)) {
+    probe_state& state = found->second;
+    // The probe that calls this function is still on the stack.
+    loop_.call_after(
+        microseconds(0),
+        [finished_probe = std::shared_ptr<connection_probe>(std::move(state.probe))] {});
+    state.accepted = result == probe_answer::accepted;
+    state.refusals += result == probe_answer::refused ? 1 : 0;
+    if (result != probe_answer::refused || !attempts_.has_interrupted(incarnation)) {
         return;
     }
-    if (about.refusals >= refusals_of_an_end) {
-        end(life, "refused");
+    if (state.refusals >= refusals_for_crash) {
+        report_crash(incarnation, "refused");
         return;
     }
-    loop_.call_after(between_probes, [this, life, alive = alive_] {
-        if (*alive && runs_.has_interrupted(life) && questions_.contains(life)) {
-            ask(life);
+    loop_.call_after(probe_interval, [this, incarnation, alive = alive_] {
+        if (*alive && attempts_.has_interrupted(incarnation) && probes_.contains(incarnation)) {
+            start_probe(incarnation);
         }
     });
 }
 
-void target_ends::heard(instant now, const target_incarnation& life) {
-    if (questions_.empty()) {
+void target_crash_detector::record_activity(instant now, const target_incarnation& incarnation) {
+    if (probes_.empty()) {
         return;
     }
-    const auto found = questions_.find(life);
-    if (found != questions_.end() && now - found->second.broke > longest_unread) {
-        questions_.erase(found);
-        runs_.discard(life);
+    const auto found = probes_.find(incarnation);
+    if (found != probes_.end() && now - found->second.interrupted_at > unread_data_window) {
+        probes_.erase(found);
+        attempts_.discard(incarnation);
     }
 }
 
-void target_ends::unlisted(const std::string& id) {
-    for (const target_incarnation& life : runs_.interrupted_incarnations(id)) {
-        const auto found = questions_.find(life);
-        const bool listens = found != questions_.end() && found->second.accepted;
+void target_crash_detector::on_unlisted(const std::string& id) {
+    for (const target_incarnation& incarnation : attempts_.interrupted_incarnations(id)) {
+        const auto found = probes_.find(incarnation);
+        const bool listens = found != probes_.end() && found->second.accepted;
         if (!listens) {
-            end(life, "unlisted");
+            report_crash(incarnation, "unlisted");
         }
     }
 }
 
-void target_ends::restarted(const std::string& id) {
-    for (const target_incarnation& life : runs_.interrupted_incarnations(id)) {
-        end(life, "restarted");
+void target_crash_detector::on_restarted(const std::string& id) {
+    for (const target_incarnation& incarnation : attempts_.interrupted_incarnations(id)) {
+        report_crash(incarnation, "restarted");
     }
 }
 
-void target_ends::end(const target_incarnation& life, std::string_view seen_by) {
-    const std::vector<digest> requests = runs_.take_in_flight(life);
-    questions_.erase(life);
+void target_crash_detector::report_crash(const target_incarnation& incarnation,
+                                         std::string_view evidence) {
+    const std::vector<digest> requests = attempts_.take_in_flight(incarnation);
+    probes_.erase(incarnation);
     if (requests.empty()) {
         return;
     }
     counters_.counter("gateway_targets_ended_total") += 1;
     log_event(log_level::warning, "target_ended",
-              {{"target", life.target},
-               {"started", std::to_string(life.started)},
-               {"seen_by", std::string(seen_by)},
+              {{"target", incarnation.target},
+               {"started", std::to_string(incarnation.started)},
+               {"seen_by", std::string(evidence)},
                {"requests", std::to_string(requests.size())},
-               {"fingerprints", names_of(requests)}});
-    hooks_.ended(life, requests);
+               {"fingerprints", fingerprints_of(requests)}});
+    hooks_.crashed(incarnation, requests);
 }
 
-void target_ends::tick(instant now) {
-    runs_.discard_expired(now);
-    std::erase_if(questions_, [&](const auto& each) {
-        return each.second.probe == nullptr && !runs_.has_interrupted(each.first);
+void target_crash_detector::tick(instant now) {
+    attempts_.discard_expired(now);
+    std::erase_if(probes_, [&](const auto& each) {
+        return each.second.probe == nullptr && !attempts_.has_interrupted(each.first);
     });
 }
 
--- a/src/roles/gateway/target_ends.hpp
+++ b/src/roles/gateway/target_ends.hpp
@@ -15,64 +15,70 @@
 
 namespace wrenswitch {
 
-/// The life of a target as the list has it.
-target_incarnation life_of(const gateway_target& target);
+/// The incarnation of a target as currently listed.
+target_incarnation incarnation_of(const gateway_target& target);
 
-/// Finds out whether a target whose runs broke off has ended, and under which requests. A broken
-/// run looks the same whether the target ended, its connection was reset or its answer was garbled.
-/// What tells them apart: nothing listens at its address any more, twice, and nothing of it has
-/// come meanwhile; or the list has it with a later start, or no more.
-class target_ends {
+/// Detects whether a target whose attempts were interrupted has crashed, and which requests were in
+/// flight then. An interrupted attempt looks the same whether the target crashed, its connection
+/// was reset or its response was garbled. It counts as a crash if two connection probes in a row
+/// are refused and nothing was received from the target meanwhile, or if the target is listed with
+/// a later start time or removed from the list.
+class target_crash_detector {
 public:
     struct hooks {
-        /// A life of a target ended while these requests were under way at it from this process.
-        std::function<void(const target_incarnation& life, std::span<const digest> requests)> ended;
+        /// An incarnation of a target crashed while these requests of this process were in flight
+        /// at it.
+        std::function<void(const target_incarnation& incarnation, std::span<const digest> requests)>
+            crashed;
     };
 
-    /// All that is referred to must outlive this.
-    target_ends(event_loop& loop, const target_pool& targets, metrics& counters, hooks called)
-        : loop_(loop), targets_(targets), counters_(counters), hooks_(std::move(called)) {}
+    /// All references must outlive the detector.
+    target_crash_detector(event_loop& loop, const target_pool& targets, metrics& counters,
+                          hooks callbacks)
+        : loop_(loop), targets_(targets), counters_(counters), hooks_(std::move(callbacks)) {}
 
-    /// The connection of a run at this life ended before the answer did.
-    void broke(instant now, const target_incarnation& life, const digest& request);
+    /// The connection of an attempt at this incarnation closed before the response was complete.
+    void record_interrupted(instant now, const target_incarnation& incarnation,
+                            const digest& request);
 
-    /// This process ended a run there by itself before its answer did.
-    void left(instant now, const target_incarnation& life, const digest& request) {
-        runs_.record_cancelled(now, life, request);
+    /// This process cancelled an attempt before its response was complete.
+    void record_cancelled(instant now, const target_incarnation& incarnation,
+                          const digest& request) {
+        attempts_.record_cancelled(now, incarnation, request);
     }
 
-    /// Something of this life of a target came. It goes on, unless that lay unread since before
-    /// the break.
-    void heard(instant now, const target_incarnation& life);
+    /// Data from this incarnation was received, so it is alive, unless the data was sent before the
+    /// interruption and read only now.
+    void record_activity(instant now, const target_incarnation& incarnation);
 
-    /// The list has this target no more, or with a later start.
-    void unlisted(const std::string& id);
-    void restarted(const std::string& id);
+    /// The target was removed from the list, or is listed with a later start time.
+    void on_unlisted(const std::string& id);
+    void on_restarted(const std::string& id);
 
     /// To be called several times a second.
     void tick(instant now);
 
 private:
-    /// What is asked about one life.
-    struct question {
+    /// The probes of one incarnation.
+    struct probe_state {
         std::unique_ptr<connection_probe> probe;
         unsigned refusals = 0;
-        /// Something listened at the address: the target ends as planned if it leaves the list.
+        /// True if the last probe was accepted: the target then ends as planned if it is unlisted.
         bool accepted = false;
-        instant broke{};
-        std::optional<instant> asked;
+        instant interrupted_at{};
+        std::optional<instant> probed_at;
     };
 
-    void ask(const target_incarnation& life);
-    void answered(const target_incarnation& life, probe_answer answer);
-    void end(const target_incarnation& life, std::string_view seen_by);
+    void start_probe(const target_incarnation& incarnation);
+    void on_probe_result(const target_incarnation& incarnation, probe_answer result);
+    void report_crash(const target_incarnation& incarnation, std::string_view evidence);
 
     event_loop& loop_;
     const target_pool& targets_;
     metrics& counters_;
     hooks hooks_;
-    interrupted_attempts runs_;
-    std::map<target_incarnation, question> questions_;
+    interrupted_attempts attempts_;
+    std::map<target_incarnation, probe_state> probes_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/roles/gateway/token_exchange.cpp
+++ b/src/roles/gateway/token_exchange.cpp
@@ -11,16 +11,17 @@
 namespace wrenswitch {
 namespace {
 
-/// An entry asks for what its requests need in this time beside the one that asks, so that one that
-/// has most of an account's requests doesn't ask for each: two messages of some 55 us each in which
-/// a request costs 460 us.
-constexpr microseconds asked_ahead = milliseconds(100);
+/// A query also asks for the tokens that this gateway's requests are expected to need in this time,
+/// so that a gateway with most of an account's requests doesn't send one query for each: two
+/// messages of about 55 us each for a request that costs 460 us.
+constexpr microseconds demand_horizon = milliseconds(100);
 
-/// How often a home gets its time again for that.
-constexpr unsigned most_extensions = 2;
+/// How often the reply timeout is extended because this process was late.
+constexpr unsigned max_extensions = 2;
 
-/// How often a request is behind another one that doesn't bring enough before it asks for itself.
-constexpr unsigned most_followed = 2;
+/// How often a request waits behind another one that brings too few tokens before it sends a query
+/// of its own.
+constexpr unsigned max_times_followed = 2;
 
 wire::TokenOutcome to_wire(reserve_outcome outcome) {
     switch (outcome) {
@@ -34,27 +35,28 @@
     return wire::TOKENS_UNAVAILABLE;
 }
 
-wire::Envelope make_answer(std::uint64_t ask, const std::string& account, tokens amount,
-                           wire::TokenOutcome outcome) {
+wire::Envelope make_reply(std::uint64_t query, const std::string& account, tokens amount,
+                          wire::TokenOutcome outcome) {
     wire::Envelope message;
-    wire::TokenAnswer& answer = *message.mutable_token_answer();
-    answer.set_ask(ask);
-    answer.set_outcome(outcome);
-    answer.set_account(account);
-    answer.set_amount(amount);
+    wire::TokenAnswer& reply = *message.mutable_token_answer();
+    reply.set_ask(query);
+    reply.set_outcome(outcome);
+    reply.set_account(account);
+    reply.set_amount(amount);
     return message;
 }
 
 }  // namespace
 
-token_exchange::token_exchange(event_loop& loop, message_bus& bus, token_allocator_selector& homes,
-                               grant_holder& grants, token_waiters& waiters, metrics& counters,
+token_exchange::token_exchange(event_loop& loop, message_bus& bus,
+                               token_allocator_selector& allocators, grant_holder& grants,
+                               token_wait_queue& wait_queue, metrics& counters,
                                token_exchange_settings settings, hooks needs)
     : loop_(loop),
       bus_(bus),
-      homes_(homes),
+      allocators_(allocators),
       grants_(grants),
-      waiters_(waiters),
+      wait_queue_(wait_queue),
       counters_(counters),
       settings_(settings),
       hooks_(std::move(needs)) {}
@@ -63,172 +65,176 @@
     *alive_ = false;
 }
 
-std::string token_exchange::describe_home(instant now, const std::string& account) const {
-    const auto home = homes_.allocator_of(now, account);
-    return home ? home->host : "none";
+std::string token_exchange::describe_allocator(instant now, const std::string& account) const {
+    const auto allocator = allocators_.allocator_of(now, account);
+    return allocator ? allocator->host : "none";
 }
 
-/// A wait is worth while only if the tokens are there to be drawn; else they would have to come
-/// from other hosts.
-microseconds token_exchange::wait_for(const std::string& account, tokens amount) const {
-    return grants_.ungranted(account) >= amount ? settings_.wait : settings_.short_wait;
+/// A long wait only pays off if the tokens can be drawn from the ledger; otherwise they would have
+/// to be returned by other hosts.
+microseconds token_exchange::wait_timeout_for(const std::string& account, tokens amount) const {
+    return grants_.ungranted(account) >= amount ? settings_.wait_timeout
+                                                : settings_.short_wait_timeout;
 }
 
 token_exchange::wait_result token_exchange::reserve(instant now, const std::string& account,
-                                                    tokens amount, answer_hook told) {
-    if (!waiters_.waits(account) && grants_.free_tokens(account) >= amount &&
+                                                    tokens amount, outcome_hook on_outcome) {
+    if (!wait_queue_.has_waiting(account) && grants_.free_tokens(account) >= amount &&
         grants_.reserve(now, account, amount) == reserve_outcome::reserved) {
         return {reserve_outcome::reserved, nullptr};
     }
-    auto wanted = std::make_shared<handle>();
-    const auto number = random_.next_id<incarnation_id>();
-    pending_[raw(number)] = {account, amount, std::move(told), wanted, {}, {}, {}, 0, false, 0, 0};
-    ask_or_follow(raw(number));
-    return {reserve_outcome::short_of_tokens, std::move(wanted)};
+    auto caller_handle = std::make_shared<handle>();
+    const auto id = random_.next_id<incarnation_id>();
+    pending_[raw(id)] = {
+        account, amount, std::move(on_outcome), caller_handle, {}, {}, {}, 0, false, 0, 0};
+    query_or_follow(raw(id));
+    return {reserve_outcome::short_of_tokens, std::move(caller_handle)};
 }
 
-/// While one request asks for an account's tokens, with what the next ones need, the others wait
-/// for its answer: an entry that has most of an account's requests asked for each of them, 941
-/// times in 8 s, while the tokens for all were on their way.
-void token_exchange::ask_or_follow(std::uint64_t number) {
-    const std::string account = pending_.at(number).account;
-    if (!leaders_.try_emplace(account, number).second) {
-        followers_[account].push_back(number);
+/// While one request of an account queries for its own tokens and those of the next ones, the
+/// others wait for the reply. Without this, a gateway with most of an account's requests sent 941
+/// queries in 8 s, one for each, while the tokens for all of them were on their way.
+void token_exchange::query_or_follow(std::uint64_t id) {
+    const std::string account = pending_.at(id).account;
+    if (!leaders_.try_emplace(account, id).second) {
+        followers_[account].push_back(id);
         return;
     }
-    lead(number, account);
+    query_as_leader(id, account);
 }
 
-void token_exchange::lead(std::uint64_t number, const std::string& account) {
-    ask_next(number);
-    const auto asking = pending_.find(number);
-    if (asking == pending_.end() || asking->second.waits_here) {
-        release_followers(number, account);
+void token_exchange::query_as_leader(std::uint64_t id, const std::string& account) {
+    query_next(id);
+    const auto leading = pending_.find(id);
+    if (leading == pending_.end() || leading->second.waits_locally) {
+        release_followers(id, account);
     }
 }
 
-/// Serves those behind a reservation from what came, and lets the first that isn't served ask for
-/// the others too. One that was passed over too often asks for itself.
-void token_exchange::release_followers(std::uint64_t number, const std::string& account) {
+/// Serves the requests behind a reservation with the tokens that it brought, and lets the first
+/// unserved one query for the rest. A request that was left out too often sends its own query.
+void token_exchange::release_followers(std::uint64_t id, const std::string& account) {
     const auto leader = leaders_.find(account);
-    if (leader == leaders_.end() || leader->second != number) {
+    if (leader == leaders_.end() || leader->second != id) {
         return;
     }
     leaders_.erase(leader);
-    auto behind = followers_.extract(account);
-    if (behind.empty()) {
+    auto followers = followers_.extract(account);
+    if (followers.empty()) {
         return;
     }
     std::vector<std::uint64_t> unserved;
-    for (const std::uint64_t each : behind.mapped()) {
+    for (const std::uint64_t each : followers.mapped()) {
         const auto found = pending_.find(each);
         if (found == pending_.end()) {
             continue;
         }
         pending_reservation& reservation = found->second;
-        reservation.followed += 1;
-        if (reservation.wanted.expired()) {
+        reservation.times_followed += 1;
+        if (reservation.caller_handle.expired()) {
             pending_.erase(found);
         } else if (grants_.free_tokens(account) >= reservation.amount &&
                    grants_.reserve(monotonic_now(), account, reservation.amount) ==
                        reserve_outcome::reserved) {
             finish(each, reserve_outcome::reserved);
-        } else if (reservation.followed >= most_followed) {
-            ask_next(each);
+        } else if (reservation.times_followed >= max_times_followed) {
+            query_next(each);
         } else {
             unserved.push_back(each);
         }
     }
-    follow_first(account, unserved);
+    elect_leader(account, unserved);
 }
 
-void token_exchange::follow_first(const std::string& account,
+void token_exchange::elect_leader(const std::string& account,
                                   std::span<const std::uint64_t> unserved) {
     if (unserved.empty()) {
         return;
     }
     const auto [leader, first] = leaders_.try_emplace(account, unserved.front());
-    std::vector<std::uint64_t>& behind = followers_[account];
-    behind.insert(behind.end(), unserved.begin() + (first ? 1 : 0), unserved.end());
+    std::vector<std::uint64_t>& followers = followers_[account];
+    followers.insert(followers.end(), unserved.begin() + (first ? 1 : 0), unserved.end());
     if (first) {
-        lead(unserved.front(), account);
+        query_as_leader(unserved.front(), account);
     }
 }
 
-/// What an ask should bring beside what its own request needs.
-tokens token_exchange::wanted_ahead(std::uint64_t number, const std::string& account) const {
-    tokens sum = grants_.expected_demand(monotonic_now(), account, asked_ahead);
+/// How many tokens a query should bring in addition to those of its own request.
+tokens token_exchange::tokens_ahead(std::uint64_t id, const std::string& account) const {
+    tokens sum = grants_.expected_demand(monotonic_now(), account, demand_horizon);
     const auto leader = leaders_.find(account);
-    const auto behind = followers_.find(account);
-    if (leader == leaders_.end() || leader->second != number || behind == followers_.end()) {
+    const auto followers = followers_.find(account);
+    if (leader == leaders_.end() || leader->second != id || followers == followers_.end()) {
         return sum;
     }
-    for (const std::uint64_t each : behind->second) {
+    for (const std::uint64_t each : followers->second) {
         const auto found = pending_.find(each);
         sum += found == pending_.end() ? 0 : found->second.amount;
     }
     return sum;
 }
 
-void token_exchange::ask_next(std::uint64_t number) {
-    pending_reservation& present = pending_.at(number);
-    const auto home = homes_.allocator_of(monotonic_now(), present.account, present.tried);
-    const bool asks = home && present.tried.size() < settings_.most_homes_asked &&
-                      home->host != homes_.own_host();
-    if (asks) {
-        ask(number, *home);
+void token_exchange::query_next(std::uint64_t id) {
+    pending_reservation& reservation = pending_.at(id);
+    const auto allocator =
+        allocators_.allocator_of(monotonic_now(), reservation.account, reservation.tried);
+    const bool queries_other = allocator &&
+                               reservation.tried.size() < settings_.max_allocators_queried &&
+                               allocator->host != allocators_.own_host();
+    if (queries_other) {
+        query(id, *allocator);
     } else {
-        wait_here(number);
+        wait_locally(id);
     }
 }
 
-void token_exchange::ask(std::uint64_t number, const cluster_member& home) {
-    pending_reservation& present = pending_.at(number);
-    present.asked = home;
-    present.asked_at = monotonic_now();
-    present.tried.push_back(home.host);
+void token_exchange::query(std::uint64_t id, const cluster_member& allocator) {
+    pending_reservation& reservation = pending_.at(id);
+    reservation.allocator = allocator;
+    reservation.queried_at = monotonic_now();
+    reservation.tried.push_back(allocator.host);
     counters_.counter("token_asks_total") += 1;
     wire::Envelope message;
     wire::TokenAsk& body = *message.mutable_token_ask();
-    body.set_ask(number);
-    body.set_account(present.account);
-    body.set_amount(present.amount);
-    body.set_ahead(wanted_ahead(number, present.account));
-    bus_.send(home.endpoint, message);
-    watch_silence(number, settings_.silence + homes_.round_trip(home));
+    body.set_ask(id);
+    body.set_account(reservation.account);
+    body.set_amount(reservation.amount);
+    body.set_ahead(tokens_ahead(id, reservation.account));
+    bus_.send(allocator.endpoint, message);
+    start_reply_timer(id, settings_.reply_timeout + allocators_.round_trip(allocator));
 }
 
-void token_exchange::watch_silence(std::uint64_t number, microseconds longest) {
-    const unsigned step = ++pending_.at(number).step;
-    const instant due = monotonic_now() + longest;
-    loop_.call_after(longest, [this, number, step, longest, due, alive = alive_] {
+void token_exchange::start_reply_timer(std::uint64_t id, microseconds timeout) {
+    const unsigned generation = ++pending_.at(id).timer_generation;
+    const instant due = monotonic_now() + timeout;
+    loop_.call_after(timeout, [this, id, generation, timeout, due, alive = alive_] {
         if (!*alive) {
             return;
         }
-        const auto found = pending_.find(number);
-        if (found == pending_.end() || found->second.step != step) {
+        const auto found = pending_.find(id);
+        if (found == pending_.end() || found->second.timer_generation != generation) {
             return;
         }
-        // The answer may lie unread in a process that is this late itself.
-        const bool late = monotonic_now() - due > late_timer_threshold;
-        if (late && found->second.extensions < most_extensions) {
+        // The reply may be waiting unread because this process itself is behind.
+        const bool delayed_here = monotonic_now() - due > late_timer_threshold;
+        if (delayed_here && found->second.extensions < max_extensions) {
             found->second.extensions += 1;
-            watch_silence(number, longest);
+            start_reply_timer(id, timeout);
             return;
         }
-        home_is_silent(number);
+        on_reply_timeout(id);
     });
 }
 
-void token_exchange::home_is_silent(std::uint64_t number) {
-    const std::string home = pending_.at(number).asked.host;
+void token_exchange::on_reply_timeout(std::uint64_t id) {
+    const std::string allocator = pending_.at(id).allocator.host;
     counters_.counter("token_homes_silent_total") += 1;
-    if (!hooks_.link_is_full() && homes_.record_failure(monotonic_now(), home)) {
-        log_event(log_level::warning, "token_home_lost", {{"home", home}});
+    if (!hooks_.is_link_saturated() && allocators_.record_failure(monotonic_now(), allocator)) {
+        log_event(log_level::warning, "token_home_lost", {{"home", allocator}});
     }
-    hooks_.home_silent(home);
-    if (pending_.contains(number)) {
-        ask_next_if_wanted(number);
+    hooks_.allocator_unresponsive(allocator);
+    if (pending_.contains(id)) {
+        query_next_or_drop(id);
     }
 }
 
@@ -236,242 +242,248 @@
     leaders_.clear();
     followers_.clear();
     std::vector<std::uint64_t> waiting;
-    for (const auto& [number, reservation] : pending_) {
-        waiting.push_back(number);
+    for (const auto& [id, reservation] : pending_) {
+        waiting.push_back(id);
     }
-    for (const std::uint64_t number : waiting) {
-        finish(number, reserve_outcome::short_of_tokens);
+    for (const std::uint64_t id : waiting) {
+        finish(id, reserve_outcome::short_of_tokens);
     }
 }
 
-void token_exchange::ask_next_if_wanted(std::uint64_t number) {
-    const std::string account = pending_.at(number).account;
-    if (pending_.at(number).wanted.expired()) {
-        pending_.erase(number);
-        release_followers(number, account);
+void token_exchange::query_next_or_drop(std::uint64_t id) {
+    const std::string account = pending_.at(id).account;
+    if (pending_.at(id).caller_handle.expired()) {
+        pending_.erase(id);
+        release_followers(id, account);
         return;
     }
-    lead(number, account);
+    query_as_leader(id, account);
 }
 
-/// Draws from the ledger for this request: this process is the home, or no home answers.
-void token_exchange::wait_here(std::uint64_t number) {
-    pending_reservation& present = pending_.at(number);
-    present.step += 1;
-    present.waits_here = true;
-    const auto told = [this, number, alive = alive_](reserve_outcome outcome) {
+/// Waits for tokens drawn from the ledger by this process, which is the allocator itself or gets no
+/// reply from one.
+void token_exchange::wait_locally(std::uint64_t id) {
+    pending_reservation& reservation = pending_.at(id);
+    reservation.timer_generation += 1;
+    reservation.waits_locally = true;
+    const auto on_outcome = [this, id, alive = alive_](reserve_outcome outcome) {
         if (*alive) {
-            finish(number, outcome);
+            finish(id, outcome);
         }
     };
-    const auto found = waiters_.reserve(monotonic_now(), present.account, present.amount, told,
-                                        present.wanted.lock());
-    if (!found.waiting) {
-        // Told later, since the caller doesn't have its handle yet.
-        loop_.call_after(microseconds(0), [told, outcome = found.now] { told(outcome); });
+    const auto found = wait_queue_.reserve(monotonic_now(), reservation.account, reservation.amount,
+                                           on_outcome, reservation.caller_handle.lock());
+    if (!found.waiting_handle) {
+        // Called later, since the caller doesn't have its handle yet.
+        loop_.call_after(microseconds(0),
+                         [on_outcome, outcome = found.outcome] { on_outcome(outcome); });
         return;
     }
-    // Without the log nothing can be drawn, so that the caller had better try elsewhere at once.
-    const microseconds longest =
-        hooks_.log_answers() ? wait_for(present.account, present.amount) : microseconds(0);
-    hooks_.tokens_wanted();
-    loop_.call_after(longest, [told] { told(reserve_outcome::short_of_tokens); });
+    // Without the log nothing can be drawn, so the request fails at once and the caller can try
+    // elsewhere.
+    const microseconds timeout = hooks_.is_log_reachable()
+                                     ? wait_timeout_for(reservation.account, reservation.amount)
+                                     : microseconds(0);
+    hooks_.request_draw();
+    loop_.call_after(timeout, [on_outcome] { on_outcome(reserve_outcome::short_of_tokens); });
 }
 
-void token_exchange::finish(std::uint64_t number, reserve_outcome outcome) {
-    const auto found = pending_.find(number);
+void token_exchange::finish(std::uint64_t id, reserve_outcome outcome) {
+    const auto found = pending_.find(id);
     if (found == pending_.end()) {
         return;
     }
-    const pending_reservation done = std::move(found->second);
+    const pending_reservation finished = std::move(found->second);
     pending_.erase(found);
-    const bool wanted = !done.wanted.expired();
-    if (!wanted && outcome == reserve_outcome::reserved) {
-        grants_.release(done.account, done.amount);
+    const bool caller_waits = !finished.caller_handle.expired();
+    if (!caller_waits && outcome == reserve_outcome::reserved) {
+        grants_.release(finished.account, finished.amount);
     }
-    if (wanted) {
-        done.told(outcome);
+    if (caller_waits) {
+        finished.on_outcome(outcome);
     }
-    release_followers(number, done.account);
+    release_followers(id, finished.account);
 }
 
 bool token_exchange::on_message(const message_origin& origin, const wire::Envelope& message) {
     if (message.has_token_ask()) {
-        on_ask(origin, message);
+        on_query(origin, message);
         return true;
     }
     if (message.has_token_answer()) {
-        on_answer(message);
+        on_reply(message);
         return true;
     }
     if (message.has_token_return()) {
-        take_returned(message);
+        accept_returned(message);
         return true;
     }
     return false;
 }
 
-void token_exchange::on_ask(const message_origin& origin, const wire::Envelope& message) {
+void token_exchange::on_query(const message_origin& origin, const wire::Envelope& message) {
     const wire::TokenAsk& body = message.token_ask();
-    const std::uint64_t ask = body.ask();
+    const std::uint64_t query = body.ask();
     const std::string& account = body.account();
     const tokens amount = body.amount();
-    if (amount <= 0 || !hooks_.can_help()) {
-        bus_.answer(origin, make_answer(ask, account, 0, wire::TOKENS_UNAVAILABLE));
+    if (amount <= 0 || !hooks_.can_allocate()) {
+        bus_.answer(origin, make_reply(query, account, 0, wire::TOKENS_UNAVAILABLE));
         return;
     }
-    const std::uint64_t number = ++last_waiting_ask_;
-    auto found = waiters_.reserve(
+    const std::uint64_t id = ++last_waiting_query_;
+    auto found = wait_queue_.reserve(
         monotonic_now(), account, amount,
-        [this, origin, ask, account, amount, number, alive = alive_](reserve_outcome outcome) {
+        [this, origin, query, account, amount, id, alive = alive_](reserve_outcome outcome) {
             if (*alive) {
-                waiting_asks_.erase(number);
-                answer_ask(origin, ask, account, amount, outcome);
+                waiting_queries_.erase(id);
+                reply_to_query(origin, query, account, amount, outcome);
             }
         });
-    if (!found.waiting) {
-        const bool given = found.now == reserve_outcome::reserved;
+    if (!found.waiting_handle) {
+        const bool given = found.outcome == reserve_outcome::reserved;
         const tokens ahead = given ? reserve_ahead(account, body.ahead()) : 0;
-        answer_ask(origin, ask, account, amount + ahead, found.now);
+        reply_to_query(origin, query, account, amount + ahead, found.outcome);
         return;
     }
-    if (!hooks_.log_answers()) {
-        bus_.answer(origin, make_answer(ask, account, 0, wire::TOKENS_UNAVAILABLE));
+    if (!hooks_.is_log_reachable()) {
+        bus_.answer(origin, make_reply(query, account, 0, wire::TOKENS_UNAVAILABLE));
         return;
     }
-    waiting_asks_[number] = std::move(found.waiting);
-    bus_.answer(origin, make_answer(ask, account, 0, wire::TOKENS_WAITING));
-    const microseconds longest = wait_for(account, amount);
-    hooks_.tokens_wanted();
-    loop_.call_after(longest, [this, origin, ask, account, amount, number, alive = alive_] {
-        if (*alive && waiting_asks_.erase(number) > 0) {
-            answer_ask(origin, ask, account, amount, reserve_outcome::short_of_tokens);
+    waiting_queries_[id] = std::move(found.waiting_handle);
+    bus_.answer(origin, make_reply(query, account, 0, wire::TOKENS_WAITING));
+    const microseconds timeout = wait_timeout_for(account, amount);
+    hooks_.request_draw();
+    loop_.call_after(timeout, [this, origin, query, account, amount, id, alive = alive_] {
+        if (*alive && waiting_queries_.erase(id) > 0) {
+            reply_to_query(origin, query, account, amount, reserve_outcome::short_of_tokens);
         }
     });
 }
 
-/// Sets aside what an asker would take beside what it needs now, if that leaves as much here.
+/// Reserves additional tokens for the querying gateway, up to half of the free tokens.
 tokens token_exchange::reserve_ahead(const std::string& account, tokens ahead) {
     const tokens given = std::min(ahead, grants_.free_tokens(account) / 2);
-    const bool useful = given > 0 && !waiters_.waits(account);
+    const bool useful = given > 0 && !wait_queue_.has_waiting(account);
     const bool reserved =
         useful && grants_.reserve(monotonic_now(), account, given) == reserve_outcome::reserved;
     return reserved ? given : 0;
 }
 
-void token_exchange::answer_ask(const message_origin& origin, std::uint64_t ask,
-                                const std::string& account, tokens amount,
-                                reserve_outcome outcome) {
+void token_exchange::reply_to_query(const message_origin& origin, std::uint64_t query,
+                                    const std::string& account, tokens amount,
+                                    reserve_outcome outcome) {
     const bool given = outcome == reserve_outcome::reserved;
     if (given) {
         grants_.transfer_out(monotonic_now(), account, amount);
         counters_.counter("tokens_given_total") += static_cast<double>(amount);
     }
-    bus_.answer(origin, make_answer(ask, account, given ? amount : 0, to_wire(outcome)));
+    bus_.answer(origin, make_reply(query, account, given ? amount : 0, to_wire(outcome)));
 }
 
-void token_exchange::on_answer(const wire::Envelope& message) {
-    const wire::TokenAnswer& answer = message.token_answer();
-    const auto found = pending_.find(answer.ask());
-    const bool awaited = found != pending_.end() && !found->second.waits_here;
+void token_exchange::on_reply(const wire::Envelope& message) {
+    const wire::TokenAnswer& reply = message.token_answer();
+    const auto found = pending_.find(reply.ask());
+    const bool awaited = found != pending_.end() && !found->second.waits_locally;
     if (awaited) {
-        home_answered(found->second);
+        record_reply(found->second);
     }
-    if (answer.outcome() == wire::TOKENS_GIVEN) {
-        take_given(message);
+    if (reply.outcome() == wire::TOKENS_GIVEN) {
+        accept_tokens(message);
         return;
     }
     if (!awaited) {
         return;
     }
-    switch (answer.outcome()) {
+    switch (reply.outcome()) {
         case wire::TOKENS_WAITING:
-            watch_silence(answer.ask(),
-                          settings_.waiting_silence + homes_.round_trip(found->second.asked));
-            // Those behind it get places of their own in the home's queue.
-            release_followers(answer.ask(), answer.account());
+            start_reply_timer(reply.ask(), settings_.waiting_reply_timeout +
+                                               allocators_.round_trip(found->second.allocator));
+            // The requests behind this one get places of their own in the allocator's queue.
+            release_followers(reply.ask(), reply.account());
             return;
         case wire::TOKENS_SHORT:
-            finish(answer.ask(), reserve_outcome::short_of_tokens);
+            finish(reply.ask(), reserve_outcome::short_of_tokens);
             return;
         case wire::TOKENS_EXHAUSTED:
-            finish(answer.ask(), reserve_outcome::exhausted);
+            finish(reply.ask(), reserve_outcome::exhausted);
             return;
         default:
-            ask_next_if_wanted(answer.ask());
+            query_next_or_drop(reply.ask());
     }
 }
 
-/// Only the first answer to an ask tells how far the home is: the next one waited for the ledger.
-void token_exchange::home_answered(pending_reservation& present) {
-    const cluster_member& home = present.asked;
-    if (homes_.record_answer(home.host)) {
-        log_event(log_level::information, "token_home_regained", {{"home", home.host}});
+/// Only the first reply to a query measures the round trip; the next one includes the wait for the
+/// ledger.
+void token_exchange::record_reply(pending_reservation& reservation) {
+    const cluster_member& allocator = reservation.allocator;
+    if (allocators_.record_answer(allocator.host)) {
+        log_event(log_level::information, "token_home_regained", {{"home", allocator.host}});
     }
-    if (const instant asked = std::exchange(present.asked_at, {}); asked != instant{}) {
-        homes_.record_round_trip(home, monotonic_now() - asked);
+    if (const instant queried = std::exchange(reservation.queried_at, {}); queried != instant{}) {
+        allocators_.record_round_trip(allocator, monotonic_now() - queried);
     }
 }
 
-void token_exchange::take_returned(const wire::Envelope& message) {
-    for (const wire::TokenAmount& part : message.token_return().amounts()) {
-        if (part.amount() > 0) {
-            grants_.transfer_in(part.account(), part.amount());
+void token_exchange::accept_returned(const wire::Envelope& message) {
+    for (const wire::TokenAmount& returned : message.token_return().amounts()) {
+        if (returned.amount() > 0) {
+            grants_.transfer_in(returned.account(), returned.amount());
         }
     }
-    waiters_.serve(monotonic_now());
+    wait_queue_.serve(monotonic_now());
 }
 
 void token_exchange::on_undelivered(const wire::Envelope& message) {
     if (message.has_token_return()) {
-        take_returned(message);
+        accept_returned(message);
     }
 }
 
-/// The tokens are this process's now. If the request has gone, they are free here until they are
-/// returned.
-void token_exchange::take_given(const wire::Envelope& message) {
-    const wire::TokenAnswer& answer = message.token_answer();
-    grants_.transfer_in(answer.account(), answer.amount());
-    const auto found = pending_.find(answer.ask());
-    if (found == pending_.end() || found->second.waits_here) {
-        counters_.counter("tokens_given_late_total") += static_cast<double>(answer.amount());
-        waiters_.serve(monotonic_now());
+/// The tokens belong to this process now. If the request is gone, they stay free here until they
+/// are returned.
+void token_exchange::accept_tokens(const wire::Envelope& message) {
+    const wire::TokenAnswer& reply = message.token_answer();
+    grants_.transfer_in(reply.account(), reply.amount());
+    const auto found = pending_.find(reply.ask());
+    if (found == pending_.end() || found->second.waits_locally) {
+        counters_.counter("tokens_given_late_total") += static_cast<double>(reply.amount());
+        wait_queue_.serve(monotonic_now());
         return;
     }
     const reserve_outcome outcome =
-        grants_.reserve(monotonic_now(), answer.account(), found->second.amount);
-    finish(answer.ask(), outcome);
+        grants_.reserve(monotonic_now(), reply.account(), found->second.amount);
+    finish(reply.ask(), outcome);
 }
 
-/// A connection over 20 ms takes some 160 ms to be made, and a home is given 100 ms: every entry
-/// took its first homes of another region for lost, 45 times in the first second.
-void token_exchange::open_ways() {
-    std::set<std::string> wanted;
-    for (const cluster_member& home : homes_.remote_allocators()) {
-        wanted.insert(home.endpoint);
-        if (!greeted_.contains(home.endpoint)) {
-            wire::Envelope greeting;
-            greeting.mutable_token_return();
-            bus_.send(home.endpoint, greeting);
+/// Opening a connection with a round trip of 20 ms takes about 160 ms, and an allocator has 100 ms
+/// to reply. Without this, every gateway took its first allocators in other regions for lost, 45
+/// times in the first second.
+void token_exchange::connect_to_allocators() {
+    std::set<std::string> endpoints;
+    for (const cluster_member& allocator : allocators_.remote_allocators()) {
+        endpoints.insert(allocator.endpoint);
+        if (!connected_.contains(allocator.endpoint)) {
+            wire::Envelope hello;
+            hello.mutable_token_return();
+            bus_.send(allocator.endpoint, hello);
         }
     }
-    greeted_ = std::move(wanted);
+    connected_ = std::move(endpoints);
 }
 
-void token_exchange::return_free(instant now) {
+void token_exchange::return_free_tokens(instant now) {
     std::map<std::string, wire::Envelope> by_endpoint;
     for (const std::string& account : grants_.accounts_with_free_tokens()) {
-        const auto home = homes_.allocator_of(now, account);
-        const bool elsewhere = home && home->host != homes_.own_host();
-        const tokens free = elsewhere ? grants_.withdraw_free(account) : 0;
+        const auto allocator = allocators_.allocator_of(now, account);
+        const bool belongs_elsewhere = allocator && allocator->host != allocators_.own_host();
+        const tokens free = belongs_elsewhere ? grants_.withdraw_free(account) : 0;
         if (free <= 0) {
             continue;
         }
-        wire::TokenAmount& part =
-            *by_endpoint[home->endpoint].mutable_token_return()->add_amounts();
-        part.set_account(account);
-        part.set_amount(free);
+        wire::TokenAmount& returned =
+            *by_endpoint[allocator->endpoint].mutable_token_return()->add_amounts();
+        returned.set_account(account);
+        returned.set_amount(free);
     }
     for (const auto& [endpoint, message] : by_endpoint) {
         bus_.send(endpoint, message);
--- a/src/roles/gateway/token_waiters.cpp
+++ b/src/roles/gateway/token_waiters.cpp
@@ -4,9 +4,9 @@
 
 namespace wrenswitch {
 
-token_waiters::wait_result token_waiters::reserve(instant now, const std::string& account,
-                                                  tokens amount, answer_hook told,
-                                                  std::shared_ptr<handle> wanted) {
+token_wait_queue::wait_result token_wait_queue::reserve(instant now, const std::string& account,
+                                                        tokens amount, outcome_hook on_outcome,
+                                                        std::shared_ptr<handle> caller_handle) {
     queue& waiting = queues_[account];
     if (waiting.empty()) {
         const reserve_outcome outcome = holder_.reserve(now, account, amount);
@@ -14,36 +14,36 @@
             return {outcome, nullptr};
         }
     }
-    if (!wanted) {
-        wanted = std::make_shared<handle>();
+    if (!caller_handle) {
+        caller_handle = std::make_shared<handle>();
     }
-    waiting.push_back({amount, std::move(told), wanted});
-    tell_holder(account, waiting);
-    return {reserve_outcome::short_of_tokens, std::move(wanted)};
+    waiting.push_back({amount, std::move(on_outcome), caller_handle});
+    update_demand(account, waiting);
+    return {reserve_outcome::short_of_tokens, std::move(caller_handle)};
 }
 
-bool token_waiters::waits(const std::string& account) const {
+bool token_wait_queue::has_waiting(const std::string& account) const {
     const auto found = queues_.find(account);
     return found != queues_.end() && !found->second.empty();
 }
 
-void token_waiters::tell_holder(const std::string& account, const queue& waiting) {
-    tokens sum = 0;
+void token_wait_queue::update_demand(const std::string& account, const queue& waiting) {
+    tokens total = 0;
     tokens first = 0;
     for (const waiter& each : waiting) {
-        if (!each.wanted.expired()) {
-            sum += each.amount;
+        if (!each.caller_handle.expired()) {
+            total += each.amount;
             first = first == 0 ? each.amount : first;
         }
     }
-    holder_.set_waiting(account, sum, first);
+    holder_.set_waiting(account, total, first);
 }
 
-void token_waiters::serve_account(instant now, const std::string& account, queue& waiting) {
-    std::vector<std::pair<answer_hook, reserve_outcome>> answers;
+void token_wait_queue::serve_account(instant now, const std::string& account, queue& waiting) {
+    std::vector<std::pair<outcome_hook, reserve_outcome>> outcomes;
     while (!waiting.empty()) {
         waiter& first = waiting.front();
-        if (first.wanted.expired()) {
+        if (first.caller_handle.expired()) {
             waiting.pop_front();
             continue;
         }
@@ -51,16 +51,16 @@
         if (outcome == reserve_outcome::short_of_tokens) {
             break;
         }
-        answers.emplace_back(std::move(first.told), outcome);
+        outcomes.emplace_back(std::move(first.on_outcome), outcome);
         waiting.pop_front();
     }
-    tell_holder(account, waiting);
-    for (const auto& [told, outcome] : answers) {
-        told(outcome);
+    update_demand(account, waiting);
+    for (const auto& [on_outcome, outcome] : outcomes) {
+        on_outcome(outcome);
     }
 }
 
-void token_waiters::serve(instant now) {
+void token_wait_queue::serve(instant now) {
     std::vector<std::string> accounts;
     for (const auto& [account, waiting] : queues_) {
         if (!waiting.empty()) {
@@ -72,12 +72,12 @@
     }
 }
 
-std::size_t token_waiters::size() const {
-    std::size_t sum = 0;
+std::size_t token_wait_queue::size() const {
+    std::size_t total = 0;
     for (const auto& [account, waiting] : queues_) {
-        sum += waiting.size();
+        total += waiting.size();
     }
-    return sum;
+    return total;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/gateway/token_waiters.hpp
+++ b/src/roles/gateway/token_waiters.hpp
@@ -10,35 +10,36 @@
 
 namespace wrenswitch {
 
-/// Requests that wait for tokens of their accounts, each account's in the order of arrival: a large
-/// request isn't passed by small ones that came later.
-class token_waiters {
+/// Requests that wait for tokens of their accounts, first in first out per account, so that small
+/// requests don't overtake a large one that came earlier.
+class token_wait_queue {
 public:
-    /// Told what became of the wait: reserved or exhausted.
-    using answer_hook = std::function<void(reserve_outcome)>;
+    /// Called when the wait ends, with reserved or exhausted.
+    using outcome_hook = std::function<void(reserve_outcome)>;
 
-    /// The holder must outlive the waiters.
-    explicit token_waiters(grant_holder& holder) : holder_(holder) {}
+    /// The holder must outlive the queue.
+    explicit token_wait_queue(grant_holder& holder) : holder_(holder) {}
 
-    /// Stands for a wait: destroying it ends the wait.
+    /// Destroying the handle cancels the wait.
     struct handle {};
 
-    /// What reserve() found at once.
+    /// The immediate result of reserve().
     struct wait_result {
-        reserve_outcome now = reserve_outcome::short_of_tokens;
+        reserve_outcome outcome = reserve_outcome::short_of_tokens;
         /// Set if the request waits.
-        std::shared_ptr<handle> waiting;
+        std::shared_ptr<handle> waiting_handle;
     };
 
-    /// Reserves at once if nothing waits before and the tokens are there. Else the hook is called
-    /// later, unless the handle is destroyed before: the one given, or else a new one.
-    wait_result reserve(instant now, const std::string& account, tokens amount, answer_hook told,
-                        std::shared_ptr<handle> wanted = nullptr);
+    /// Reserves at once if no request of the account waits and the tokens are available. Otherwise
+    /// the hook is called later, unless the handle is destroyed first. The handle is
+    /// `caller_handle`, or a new one if that is null.
+    wait_result reserve(instant now, const std::string& account, tokens amount,
+                        outcome_hook on_outcome, std::shared_ptr<handle> caller_handle = nullptr);
 
-    /// True if requests wait for tokens of an account.
-    bool waits(const std::string& account) const;
+    /// True if requests wait for tokens of the account.
+    bool has_waiting(const std::string& account) const;
 
-    /// The holder may have more tokens, or know of fewer: serves those that wait.
+    /// Serves waiting requests after the holder's tokens have changed.
     void serve(instant now);
 
     std::size_t size() const;
@@ -46,13 +47,13 @@
 private:
     struct waiter {
         tokens amount = 0;
-        answer_hook told;
-        std::weak_ptr<handle> wanted;
+        outcome_hook on_outcome;
+        std::weak_ptr<handle> caller_handle;
     };
     using queue = std::deque<waiter>;
 
     void serve_account(instant now, const std::string& account, queue& waiting);
-    void tell_holder(const std::string& account, const queue& waiting);
+    void update_demand(const std::string& account, const queue& waiting);
 
     grant_holder& holder_;
     std::map<std::string, queue> queues_;
--- a/tests/roles/placement_exchange_test.cpp
+++ b/tests/roles/placement_exchange_test.cpp
@@ -15,38 +15,40 @@
 
 const std::string service = "llm";
 
-/// One entry that places requests and may be a keeper, over a real bus.
-struct placing_entry {
-    placing_entry(event_loop& loop, int number, std::string stands_in = {},
-                  bool has_engines_by_region = false)
+/// A gateway that places requests and may coordinate engines, over a real bus.
+struct placing_gateway {
+    placing_gateway(event_loop& loop, int number, std::string own_region = {},
+                    bool has_engines_by_region = false)
         : host("h" + std::to_string(number)),
-          region(std::move(stands_in)),
+          region(std::move(own_region)),
           engines_by_region(has_engines_by_region),
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
           members(host, allocator_settings(region)),
-          exchange(loop, *bus, targets, keepers, desk, counters,
+          exchange(loop, *bus, targets, coordinators, placements, counters,
                    {[this](const std::string&) { return knows_engines ? &engine : nullptr; },
-                    [this](const std::string& keeper, bool others_answered) {
-                        silent.push_back(keeper);
-                        others_had_answered = others_answered;
-                        members.record_failure(monotonic_now(), keeper);
+                    [this](const std::string& coordinator, bool others_answered) {
+                        unresponsive.push_back(coordinator);
+                        others_had_responded = others_answered;
+                        members.record_failure(monotonic_now(), coordinator);
                     },
-                    [this](const std::string& keeper) { answered.push_back(keeper); },
-                    [this](const cluster_member& keeper) { return members.round_trip(keeper); },
-                    [this](const cluster_member& keeper, microseconds took) {
-                        members.record_round_trip(keeper, took);
+                    [this](const std::string& coordinator) { responded.push_back(coordinator); },
+                    [this](const cluster_member& coordinator) {
+                        return members.round_trip(coordinator);
+                    },
+                    [this](const cluster_member& coordinator, microseconds elapsed) {
+                        members.record_round_trip(coordinator, elapsed);
                     }}) {
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
-            if (listens) {
-                taken = exchange.on_message(origin, message);
+            if (accepts_messages) {
+                handled = exchange.on_message(origin, message);
             }
         });
         for (int target = 1; target <= 12; ++target) {
-            const bool is_northern = engines_by_region && target > 6;
+            const bool in_north = engines_by_region && target > 6;
             targets.apply({"e" + std::to_string(target),
                            service,
                            "127.0.0.1:1",
-                           is_northern ? "d2" : "d1",
+                           in_north ? "d2" : "d1",
                            32,
                            false,
                            {}});
@@ -68,7 +70,7 @@
         return settings;
     }
 
-    /// All engines but one are listed in another failure domain.
+    /// Lists all engines except one in another failure domain.
     void move_all_but(const std::string& kept, const std::string& domain) {
         for (const gateway_target& target : targets.listed()) {
             if (target.id != kept) {
@@ -97,40 +99,40 @@
     engine_profile engine{3, 200'000, 0.0};
     std::unique_ptr<message_bus> bus;
     token_allocator_selector members;
-    engine_coordinators keepers{members,
-                                [this](std::string_view id) { return targets.region_of(id); }};
+    engine_coordinators coordinators{members,
+                                     [this](std::string_view id) { return targets.region_of(id); }};
     target_pool targets{pool_settings(), random};
-    placement_desk desk{targets, keepers, counters};
-    std::vector<std::string> silent;
-    std::vector<std::string> answered;
-    bool others_had_answered = false;
-    bool listens = true;
+    placement_coordinator placements{targets, coordinators, counters};
+    std::vector<std::string> unresponsive;
+    std::vector<std::string> responded;
+    bool others_had_responded = false;
+    bool accepts_messages = true;
     bool knows_engines = true;
-    bool taken = false;
+    bool handled = false;
     placement_exchange exchange;
 };
 
-/// Four entries that know each other; the first is the keeper of all engines.
+/// Four gateways that know each other; the first coordinates all engines.
 struct placement_exchange_fixture : loop_runner {
-    std::vector<std::unique_ptr<placing_entry>> entries;
-    placing_entry* keeper = nullptr;
-    placing_entry* asker = nullptr;
-    /// What the last request that was placed got.
-    placed_run run;
+    std::vector<std::unique_ptr<placing_gateway>> gateways;
+    placing_gateway* coordinator = nullptr;
+    placing_gateway* requester = nullptr;
+    /// The result of the last request that was placed.
+    placed_attempt attempt;
     target_choice choice;
-    unsigned chosen = 0;
+    unsigned choice_count = 0;
 
     placement_exchange_fixture() {
         for (int number = 1; number <= 4; ++number) {
-            entries.push_back(std::make_unique<placing_entry>(loop, number));
+            gateways.push_back(std::make_unique<placing_gateway>(loop, number));
         }
-        for (const auto& entry : entries) {
-            for (const auto& member : entries) {
-                entry->members.apply(member->self());
+        for (const auto& gateway : gateways) {
+            for (const auto& member : gateways) {
+                gateway->members.apply(member->self());
             }
         }
-        keeper = entries[0].get();
-        asker = entries[1].get();
+        coordinator = gateways[0].get();
+        requester = gateways[1].get();
     }
 
     static std::vector<std::string> all_but(const std::string& kept) {
@@ -145,464 +147,477 @@
     }
 
     static engine_request prompt(std::uint64_t session, tokens length = 9000) {
-        engine_request made;
-        made.prompt = {length, 400, 150, {{session, length / 2}, {session + 1, length / 2}}};
-        made.engine = {3, 200'000, 0.0};
-        made.first_event_objective = milliseconds(800);
-        made.max_event_gap = milliseconds(300);
-        return made;
+        engine_request result;
+        result.prompt = {length, 400, 150, {{session, length / 2}, {session + 1, length / 2}}};
+        result.engine = {3, 200'000, 0.0};
+        result.first_event_objective = milliseconds(800);
+        result.max_event_gap = milliseconds(300);
+        return result;
     }
 
-    std::shared_ptr<placement_exchange::handle> begin(placing_entry& entry,
+    std::shared_ptr<placement_exchange::handle> begin(placing_gateway& gateway,
                                                       const engine_request& request,
                                                       std::vector<std::string> tried = {}) {
-        return entry.exchange.place(service, request, tried, seconds(5),
-                                    [this](const target_choice& made, const placed_run& placed) {
-                                        choice = made;
-                                        run = placed;
-                                        chosen += 1;
-                                    });
+        return gateway.exchange.place(
+            service, request, tried, seconds(5),
+            [this](const target_choice& result, const placed_attempt& placed) {
+                choice = result;
+                attempt = placed;
+                choice_count += 1;
+            });
     }
 
-    std::string place(placing_entry& entry, const engine_request& request,
+    std::string place(placing_gateway& gateway, const engine_request& request,
                       std::vector<std::string> tried = {}) {
-        const unsigned before = chosen;
-        const auto wish = begin(entry, request, std::move(tried));
-        BOOST_REQUIRE(run_until([&] { return chosen > before; }));
-        return run.target;
+        const unsigned before = choice_count;
+        const auto handle = begin(gateway, request, std::move(tried));
+        BOOST_REQUIRE(run_until([&] { return choice_count > before; }));
+        return attempt.target;
     }
 };
 
-/// The same with the keeper in another region than the others, 25 ms away.
-struct far_keeper_fixture : placement_exchange_fixture {
-    std::unique_ptr<loopback_proxy> way;
-    std::vector<std::unique_ptr<placing_entry>> regional;
+/// The same with the coordinator in another region, 25 ms away.
+struct remote_coordinator_fixture : placement_exchange_fixture {
+    std::unique_ptr<loopback_proxy> proxy;
+    std::vector<std::unique_ptr<placing_gateway>> regional_gateways;
 
-    explicit far_keeper_fixture(bool engines_by_region = false) {
+    explicit remote_coordinator_fixture(bool engines_by_region = false) {
         for (int number = 1; number <= 4; ++number) {
-            regional.push_back(std::make_unique<placing_entry>(
+            regional_gateways.push_back(std::make_unique<placing_gateway>(
                 loop, number, number == 1 ? "north" : "south", engines_by_region));
         }
-        keeper = regional[0].get();
-        asker = regional[1].get();
-        const std::string endpoint = keeper->bus->endpoint();
+        coordinator = regional_gateways[0].get();
+        requester = regional_gateways[1].get();
+        const std::string endpoint = coordinator->bus->endpoint();
         const std::string port = endpoint.substr(endpoint.rfind(':') + 1);
-        way = std::make_unique<loopback_proxy>(loop, static_cast<std::uint16_t>(std::stoi(port)));
-        way->delay = milliseconds(25);
-        for (const auto& entry : regional) {
-            for (const auto& member : regional) {
-                entry->members.apply(seen_by(*entry, *member));
+        proxy = std::make_unique<loopback_proxy>(loop, static_cast<std::uint16_t>(std::stoi(port)));
+        proxy->delay = milliseconds(25);
+        for (const auto& gateway : regional_gateways) {
+            for (const auto& member : regional_gateways) {
+                gateway->members.apply(seen_by(*gateway, *member));
             }
         }
-        // The first ask makes the connection.
-        const auto first = asker->exchange.place(service, long_to_read(3), {}, seconds(5),
-                                                 [](const target_choice&, const placed_run&) {});
-        BOOST_REQUIRE(run_until([&] { return !asker->answered.empty(); }));
+        // The first query opens the connection.
+        const auto first =
+            requester->exchange.place(service, long_prompt(3), {}, seconds(5),
+                                      [](const target_choice&, const placed_attempt&) {});
+        BOOST_REQUIRE(run_until([&] { return !requester->responded.empty(); }));
     }
 
-    /// A session that meets at one engine for all regions.
-    static engine_request long_to_read(std::uint64_t session) { return prompt(session, 14'000); }
+    /// A session that maps to the same engine from every region.
+    static engine_request long_prompt(std::uint64_t session) { return prompt(session, 14'000); }
 
-    cluster_member seen_by(const placing_entry& entry, const placing_entry& member) const {
+    cluster_member seen_by(const placing_gateway& gateway, const placing_gateway& member) const {
         cluster_member seen = member.self();
-        if (entry.region != member.region && member.region == "north") {
-            seen.endpoint = "tcp://127.0.0.1:" + std::to_string(way->port());
+        if (gateway.region != member.region && member.region == "north") {
+            seen.endpoint = "tcp://127.0.0.1:" + std::to_string(proxy->port());
         }
         return seen;
     }
 };
 
-/// Six engines in each of two regions; the entries but one are in the south.
-struct two_regions_fixture : far_keeper_fixture {
-    placing_entry* near_keeper = nullptr;
+/// Six engines in each of two regions; all gateways but one are in the south.
+struct two_regions_fixture : remote_coordinator_fixture {
+    placing_gateway* local_coordinator = nullptr;
 
-    two_regions_fixture() : far_keeper_fixture(true) {
-        const std::string host = asker->keepers.coordinator_of(monotonic_now(), "e1")->host;
-        for (const auto& entry : regional) {
-            near_keeper = entry->host == host ? entry.get() : near_keeper;
+    two_regions_fixture() : remote_coordinator_fixture(true) {
+        const std::string host =
+            requester->coordinators.coordinator_of(monotonic_now(), "e1")->host;
+        for (const auto& gateway : regional_gateways) {
+            local_coordinator = gateway->host == host ? gateway.get() : local_coordinator;
         }
-        for (const auto& entry : regional) {
-            if (entry->region == "south" && entry.get() != near_keeper) {
-                asker = entry.get();
+        for (const auto& gateway : regional_gateways) {
+            if (gateway->region == "south" && gateway.get() != local_coordinator) {
+                requester = gateway.get();
             }
         }
-        // Connections in both regions.
-        place(*asker, chat(1));
-        for (std::uint64_t session = 900; !has_answered("h1"); session += 2) {
-            const auto wish = begin(*asker, long_to_read(session));
+        // Opens connections in both regions.
+        place(*requester, short_prompt(1));
+        for (std::uint64_t session = 900; !has_responded("h1"); session += 2) {
+            const auto handle = begin(*requester, long_prompt(session));
             run_for(milliseconds(150));
         }
     }
 
-    bool has_answered(const std::string& host) const {
-        const std::vector<std::string>& hosts = asker->answered;
+    bool has_responded(const std::string& host) const {
+        const std::vector<std::string>& hosts = requester->responded;
         return std::find(hosts.begin(), hosts.end(), host) != hosts.end();
     }
 
-    /// Has next to nothing that a session shares.
-    static engine_request chat(std::uint64_t session) { return prompt(session, 900); }
+    /// A prompt with almost no prefix that a session could share.
+    static engine_request short_prompt(std::uint64_t session) { return prompt(session, 900); }
 
-    /// Every engine of the south reads for a long time.
-    void fill_the_south() const {
+    /// Gives every engine in the south a long prefill.
+    void fill_south() const {
         for (int number = 1; number <= 6; ++number) {
-            near_keeper->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
-                                               prompt(500, 150'000), 150'000, true);
+            local_coordinator->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
+                                                     prompt(500, 150'000), 150'000, true);
         }
     }
 
-    std::string region_of_last() const { return std::string(asker->targets.region_of(run.target)); }
+    std::string region_of_last_attempt() const {
+        return std::string(requester->targets.region_of(attempt.target));
+    }
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(placement_exchange_test, placement_exchange_fixture)
 
-BOOST_AUTO_TEST_CASE(keeper_chooses_for_an_entry_that_asks) {
-    const std::string target = place(*asker, prompt(7));
+BOOST_AUTO_TEST_CASE(query_to_coordinator_returns_its_choice) {
+    const std::string target = place(*requester, prompt(7));
     BOOST_TEST(!target.empty());
-    BOOST_TEST(run.keeper == "h1");
+    BOOST_TEST(attempt.coordinator == "h1");
     BOOST_TEST(choice.uncached_tokens == 9000);
     BOOST_TEST(choice.price.first_event_ms > 10.0);
-    BOOST_TEST(keeper->desk.runs() == 1U);
-    BOOST_TEST(asker->answered.size() == 1U);
+    BOOST_TEST(coordinator->placements.attempt_count() == 1U);
+    BOOST_TEST(requester->responded.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(requests_of_many_entries_at_once_go_to_different_engines) {
-    // Prompts that two at one engine would make late. Entries that don't know of each other's send
-    // several to one engine and leave some without.
+BOOST_AUTO_TEST_CASE(requests_of_many_gateways_at_once_go_to_different_engines) {
+    // Two of these prompts at one engine would miss their objective. Gateways that don't see each
+    // other's attempts send several to one engine and leave others idle.
     std::set<std::string> used;
-    for (std::uint64_t turn = 0; turn < 12; ++turn) {
-        used.insert(place(*entries[turn % 4], prompt(100 + 2 * turn, 14'000)));
+    for (std::uint64_t round = 0; round < 12; ++round) {
+        used.insert(place(*gateways[round % 4], prompt(100 + 2 * round, 14'000)));
     }
     BOOST_TEST(used.size() == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(ended_run_no_longer_counts_at_the_keeper) {
-    place(*asker, prompt(7));
-    asker->exchange.first_event(run);
-    asker->exchange.next_events(run, milliseconds(240));
-    asker->exchange.ended(run, run_end::answered_well);
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == 0U; }));
+BOOST_AUTO_TEST_CASE(ended_attempt_is_no_longer_counted_by_coordinator) {
+    place(*requester, prompt(7));
+    requester->exchange.record_first_event(attempt);
+    requester->exchange.record_event_span(attempt, milliseconds(240));
+    requester->exchange.end_attempt(attempt, attempt_outcome::succeeded);
+    BOOST_REQUIRE(run_until([&] { return coordinator->placements.attempt_count() == 0U; }));
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_failed_one_entry_is_avoided_for_all) {
-    const std::string bad = place(*asker, prompt(7));
-    asker->exchange.ended(run, run_end::failed);
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == 0U; }));
-    BOOST_TEST(place(*entries[2], prompt(7)) != bad);
+BOOST_AUTO_TEST_CASE(engine_that_failed_one_gateway_is_avoided_for_all) {
+    const std::string bad = place(*requester, prompt(7));
+    requester->exchange.end_attempt(attempt, attempt_outcome::failed);
+    BOOST_REQUIRE(run_until([&] { return coordinator->placements.attempt_count() == 0U; }));
+    BOOST_TEST(place(*gateways[2], prompt(7)) != bad);
 }
 
-BOOST_AUTO_TEST_CASE(run_whose_caller_left_meanwhile_is_taken_back) {
-    auto wish = begin(*asker, prompt(7));
-    wish.reset();
-    BOOST_REQUIRE(run_until([&] { return asker->answered.size() == 1U; }));
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == 0U; }));
-    BOOST_TEST(chosen == 0U);
+BOOST_AUTO_TEST_CASE(attempt_whose_caller_left_during_query_is_released) {
+    auto handle = begin(*requester, prompt(7));
+    handle.reset();
+    BOOST_REQUIRE(run_until([&] { return requester->responded.size() == 1U; }));
+    BOOST_REQUIRE(run_until([&] { return coordinator->placements.attempt_count() == 0U; }));
+    BOOST_TEST(choice_count == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(silent_keeper_delays_a_request_by_no_more_than_the_time_to_ask) {
-    place(*asker, prompt(3));
-    keeper->listens = false;
-    const instant asked = monotonic_now();
-    BOOST_TEST(!place(*asker, prompt(7)).empty());
-    BOOST_TEST((monotonic_now() - asked < milliseconds(200)));
-    BOOST_TEST(run.keeper.empty());
-    // The next one doesn't wait at all.
-    const auto wish = begin(*asker, prompt(8));
-    BOOST_TEST(chosen == 3U);
-    BOOST_REQUIRE(run_until([&] { return !asker->silent.empty(); }));
-    BOOST_TEST(asker->silent.front() == "h1");
-    // Nobody else was asked meanwhile: it may as well be this entry that is late.
-    BOOST_TEST(!asker->others_had_answered);
-    BOOST_TEST(!place(*asker, prompt(9)).empty());
-    BOOST_TEST(run.keeper != "h1");
+BOOST_AUTO_TEST_CASE(unresponsive_coordinator_delays_request_by_no_more_than_query_timeout) {
+    place(*requester, prompt(3));
+    coordinator->accepts_messages = false;
+    const instant started = monotonic_now();
+    BOOST_TEST(!place(*requester, prompt(7)).empty());
+    BOOST_TEST((monotonic_now() - started < milliseconds(200)));
+    BOOST_TEST(attempt.coordinator.empty());
+    // The next request isn't delayed at all.
+    const auto handle = begin(*requester, prompt(8));
+    BOOST_TEST(choice_count == 3U);
+    BOOST_REQUIRE(run_until([&] { return !requester->unresponsive.empty(); }));
+    BOOST_TEST(requester->unresponsive.front() == "h1");
+    // No other coordinator was queried meanwhile, so this gateway itself may be late.
+    BOOST_TEST(!requester->others_had_responded);
+    BOOST_TEST(!place(*requester, prompt(9)).empty());
+    BOOST_TEST(attempt.coordinator != "h1");
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_comes_too_late_is_taken_back) {
-    keeper->listens = false;
+BOOST_AUTO_TEST_CASE(attempt_of_late_reply_is_released) {
+    coordinator->accepts_messages = false;
     std::optional<wire::Envelope> held;
     message_origin from;
-    keeper->bus->on_message([&](const message_origin& origin, const wire::Envelope& message) {
+    coordinator->bus->on_message([&](const message_origin& origin, const wire::Envelope& message) {
         if (message.has_placement_ask()) {
             held = message;
             from = origin;
         } else {
-            keeper->exchange.on_message(origin, message);
+            coordinator->exchange.on_message(origin, message);
         }
     });
-    place(*asker, prompt(7));
+    place(*requester, prompt(7));
     BOOST_REQUIRE(run_until([&] { return held.has_value(); }));
-    keeper->exchange.on_message(from, *held);
-    BOOST_TEST(keeper->desk.runs() == 1U);
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == 0U; }));
+    coordinator->exchange.on_message(from, *held);
+    BOOST_TEST(coordinator->placements.attempt_count() == 1U);
+    BOOST_REQUIRE(run_until([&] { return coordinator->placements.attempt_count() == 0U; }));
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_leaves_is_not_taken_on_a_keepers_word) {
+BOOST_AUTO_TEST_CASE(draining_engine_chosen_by_coordinator_is_not_used) {
     for (int number = 1; number <= 12; ++number) {
         const std::string id = "e" + std::to_string(number);
         if (id != "e5") {
-            asker->targets.apply({id, service, "127.0.0.1:1", "d1", 32, true, {}});
+            requester->targets.apply({id, service, "127.0.0.1:1", "d1", 32, true, {}});
         }
     }
     for (std::uint64_t session = 10; session < 20; ++session) {
-        BOOST_TEST(place(*asker, prompt(session)) == "e5");
+        BOOST_TEST(place(*requester, prompt(session)) == "e5");
     }
 }
 
-BOOST_AUTO_TEST_CASE(cold_engine_gets_its_rate_from_all_entries_together) {
-    for (const auto& entry : entries) {
-        entry->targets.set_warmup(monotonic_now(), service, {seconds(30), 10.0});
+BOOST_AUTO_TEST_CASE(cold_engine_gets_its_warmup_rate_from_all_gateways_together) {
+    for (const auto& gateway : gateways) {
+        gateway->targets.set_warmup(monotonic_now(), service, {seconds(30), 10.0});
         for (int number = 1; number <= 12; ++number) {
             const std::string id = "e" + std::to_string(number);
             if (number > 1) {
-                entry->targets.remove(monotonic_now(), id);
+                gateway->targets.remove(monotonic_now(), id);
             }
-            entry->targets.mark_cold(monotonic_now(), id, seconds(30));
+            gateway->targets.mark_cold(monotonic_now(), id, seconds(30));
         }
     }
     unsigned placed = 0;
     unsigned refused = 0;
     const instant begun = monotonic_now();
-    for (std::uint64_t turn = 0; monotonic_now() < begun + seconds(1); ++turn) {
-        const bool found = !place(*entries[turn % 4], prompt(100 + turn)).empty();
+    for (std::uint64_t round = 0; monotonic_now() < begun + seconds(1); ++round) {
+        const bool found = !place(*gateways[round % 4], prompt(100 + round)).empty();
         const bool sent_within = monotonic_now() + choice.wait < begun + seconds(1);
         placed += found && sent_within ? 1 : 0;
         refused += choice.all_cold ? 1 : 0;
     }
-    // Ten from the keeper, two from those that chose alone, and one of each before.
+    // Ten from the coordinator, two from gateways that chose without it, and one of each from
+    // before.
     BOOST_TEST(placed >= 8U);
     BOOST_TEST(placed <= 15U);
-    // The last one may have come just when there was a turn again.
+    // A send permit may just have become available for the last request.
     BOOST_TEST(refused > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(engines_of_an_emptied_domain_are_not_taken_on_a_keepers_word) {
-    asker->targets.set_evacuated(monotonic_now(), "d1", true);
+BOOST_AUTO_TEST_CASE(engine_of_evacuated_domain_chosen_by_coordinator_is_not_used) {
+    requester->targets.set_evacuated(monotonic_now(), "d1", true);
     for (std::uint64_t session = 10; session < 20; ++session) {
-        BOOST_TEST(place(*asker, prompt(session)).empty());
+        BOOST_TEST(place(*requester, prompt(session)).empty());
     }
     BOOST_TEST((choice.target == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(bound_request_is_kept_in_its_region_by_the_keeper) {
-    for (const auto& entry : entries) {
-        entry->move_all_but("e5", "d2");
+BOOST_AUTO_TEST_CASE(request_bound_to_region_is_kept_there_by_coordinator) {
+    for (const auto& gateway : gateways) {
+        gateway->move_all_but("e5", "d2");
     }
     engine_request bound = prompt(7);
     bound.constraints.regions = {{"north"}};
     for (std::uint64_t session = 10; session < 20; ++session) {
         bound.prompt.parts[0].id = session;
-        BOOST_TEST(place(*asker, bound) == "e5");
-        BOOST_TEST(run.keeper == "h1");
+        BOOST_TEST(place(*requester, bound) == "e5");
+        BOOST_TEST(attempt.coordinator == "h1");
     }
-    BOOST_TEST(place(*asker, bound, {"e5"}).empty());
+    BOOST_TEST(place(*requester, bound, {"e5"}).empty());
     bound.constraints.regions = allowed_regions{std::in_place};
-    BOOST_TEST(place(*asker, bound).empty());
+    BOOST_TEST(place(*requester, bound).empty());
 }
 
-BOOST_AUTO_TEST_CASE(engine_outside_its_regions_is_not_taken_on_a_keepers_word) {
-    // The keeper's list is older: it believes all engines to be in the north.
-    asker->move_all_but("e5", "d2");
+BOOST_AUTO_TEST_CASE(engine_outside_allowed_regions_chosen_by_coordinator_is_not_used) {
+    // The coordinator's list is older and has all engines in the north.
+    requester->move_all_but("e5", "d2");
     engine_request bound = prompt(7);
     bound.constraints.regions = {{"north"}};
     for (std::uint64_t session = 10; session < 20; ++session) {
         bound.prompt.parts[0].id = session;
-        BOOST_TEST(place(*asker, bound) == "e5");
+        BOOST_TEST(place(*requester, bound) == "e5");
     }
-    BOOST_TEST(asker->counters.counter("placement_answers_unusable_total") > 0U);
+    BOOST_TEST(requester->counters.counter("placement_answers_unusable_total") > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(copy_across_regions_is_not_taken_on_a_keepers_word) {
-    for (const auto& entry : entries) {
-        entry->engine.copy_ms_per_token = 0.002;
+BOOST_AUTO_TEST_CASE(copy_across_regions_chosen_by_coordinator_is_not_used) {
+    for (const auto& gateway : gateways) {
+        gateway->engine.copy_ms_per_token = 0.002;
     }
     engine_request request = prompt(7);
     request.engine.copy_ms_per_token = 0.002;
-    BOOST_TEST(place(*entries[2], request, all_but("e3")) == "e3");
-    asker->move_all_but("e5", "d2");
-    BOOST_TEST(place(*asker, request, all_but("e5")) == "e5");
+    BOOST_TEST(place(*gateways[2], request, all_but("e3")) == "e3");
+    requester->move_all_but("e5", "d2");
+    BOOST_TEST(place(*requester, request, all_but("e5")) == "e5");
     BOOST_TEST((choice.copy_from == nullptr));
-    BOOST_TEST(asker->counters.counter("placement_copies_forbidden_total") == 1U);
-    // An entry that knows both engines to be in one region takes the keeper's word.
-    BOOST_TEST(place(*entries[3], request, all_but("e6")) == "e6");
+    BOOST_TEST(requester->counters.counter("placement_copies_forbidden_total") == 1U);
+    // A gateway that lists both engines in one region uses the coordinator's choice.
+    BOOST_TEST(place(*gateways[3], request, all_but("e6")) == "e6");
     BOOST_TEST((choice.copy_from != nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(engines_that_were_tried_are_left_out) {
-    const std::string first = place(*asker, prompt(7));
-    BOOST_TEST(place(*asker, prompt(7), {first}) != first);
+    const std::string first = place(*requester, prompt(7));
+    BOOST_TEST(place(*requester, prompt(7), {first}) != first);
 }
 
-BOOST_AUTO_TEST_CASE(keeper_that_does_not_know_the_service_leaves_the_choice_to_the_asker) {
-    keeper->knows_engines = false;
-    BOOST_TEST(!place(*asker, prompt(7)).empty());
-    BOOST_TEST(run.keeper.empty());
+BOOST_AUTO_TEST_CASE(coordinator_without_service_leaves_choice_to_requester) {
+    coordinator->knows_engines = false;
+    BOOST_TEST(!place(*requester, prompt(7)).empty());
+    BOOST_TEST(attempt.coordinator.empty());
 }
 
-BOOST_AUTO_TEST_CASE(keeper_places_its_own_requests_without_a_message) {
-    const auto wish = begin(*keeper, prompt(7));
-    BOOST_TEST(chosen == 1U);
-    BOOST_TEST(keeper->desk.runs() == 1U);
-    keeper->exchange.ended(run, run_end::answered_well);
-    BOOST_TEST(keeper->desk.runs() == 0U);
+BOOST_AUTO_TEST_CASE(coordinator_places_its_own_requests_without_a_message) {
+    const auto handle = begin(*coordinator, prompt(7));
+    BOOST_TEST(choice_count == 1U);
+    BOOST_TEST(coordinator->placements.attempt_count() == 1U);
+    coordinator->exchange.end_attempt(attempt, attempt_outcome::succeeded);
+    BOOST_TEST(coordinator->placements.attempt_count() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(run_of_a_lost_entry_is_given_up_when_its_caller_has_no_time_left) {
-    place(*asker, prompt(7));
-    keeper->desk.drop_lapsed(monotonic_now() + seconds(4));
-    BOOST_TEST(keeper->desk.runs() == 1U);
-    keeper->desk.drop_lapsed(monotonic_now() + seconds(7));
-    BOOST_TEST(keeper->desk.runs() == 0U);
+BOOST_AUTO_TEST_CASE(attempt_of_lost_gateway_is_dropped_after_its_deadline) {
+    place(*requester, prompt(7));
+    coordinator->placements.drop_expired(monotonic_now() + seconds(4));
+    BOOST_TEST(coordinator->placements.attempt_count() == 1U);
+    coordinator->placements.drop_expired(monotonic_now() + seconds(7));
+    BOOST_TEST(coordinator->placements.attempt_count() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(engines_that_the_list_lost_are_still_used_in_need) {
+BOOST_AUTO_TEST_CASE(unlisted_engines_are_used_when_none_is_listed) {
     for (int number = 1; number <= 12; ++number) {
-        asker->targets.remove(monotonic_now(), "e" + std::to_string(number));
+        requester->targets.remove(monotonic_now(), "e" + std::to_string(number));
     }
-    BOOST_TEST(!place(*asker, prompt(7)).empty());
-    BOOST_TEST(run.keeper.empty());
+    BOOST_TEST(!place(*requester, prompt(7)).empty());
+    BOOST_TEST(attempt.coordinator.empty());
 }
 
 BOOST_AUTO_TEST_CASE(without_any_engine_there_is_no_target) {
-    const auto wish = asker->exchange.place("unknown", prompt(7), {}, seconds(5),
-                                            [this](const target_choice& made, const placed_run&) {
-                                                choice = made;
-                                                chosen += 1;
-                                            });
-    BOOST_TEST(chosen == 1U);
+    const auto handle =
+        requester->exchange.place("unknown", prompt(7), {}, seconds(5),
+                                  [this](const target_choice& result, const placed_attempt&) {
+                                      choice = result;
+                                      choice_count += 1;
+                                  });
+    BOOST_TEST(choice_count == 1U);
     BOOST_TEST((choice.target == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(message_of_another_kind_is_left_to_others) {
+BOOST_AUTO_TEST_CASE(message_of_another_kind_is_not_handled) {
     wire::Envelope message;
     message.mutable_token_ask()->set_ask(1);
-    asker->taken = true;
-    keeper->bus->send(asker->bus->endpoint(), message);
-    BOOST_REQUIRE(run_until([&] { return !asker->taken; }));
+    requester->handled = true;
+    coordinator->bus->send(requester->bus->endpoint(), message);
+    BOOST_REQUIRE(run_until([&] { return !requester->handled; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(far_keeper_is_waited_for_by_its_distance, far_keeper_fixture) {
-    BOOST_TEST(!place(*asker, prompt(7)).empty());
-    BOOST_TEST(run.keeper == "h1");
-    BOOST_TEST((run.asked_for >= milliseconds(50)));
-    BOOST_TEST(asker->silent.empty());
+BOOST_FIXTURE_TEST_CASE(timeout_of_remote_coordinator_includes_its_round_trip,
+                        remote_coordinator_fixture) {
+    BOOST_TEST(!place(*requester, prompt(7)).empty());
+    BOOST_TEST(attempt.coordinator == "h1");
+    BOOST_TEST((attempt.selection_time >= milliseconds(50)));
+    BOOST_TEST(requester->unresponsive.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(keeper_that_became_farther_is_learnt_from_answers_that_came_too_late,
-                        far_keeper_fixture) {
-    way->delay = milliseconds(60);
-    unsigned asked = 0;
+BOOST_FIXTURE_TEST_CASE(longer_round_trip_of_coordinator_is_learnt_from_late_replies,
+                        remote_coordinator_fixture) {
+    proxy->delay = milliseconds(60);
+    unsigned queries = 0;
     do {
-        place(*asker, prompt(7 + 2 * asked));
-        asked += 1;
-        const std::size_t answers = asker->answered.size();
-        run_until([&] { return asker->answered.size() > answers; }, milliseconds(200));
-    } while (run.keeper.empty() && asked < 20U);
-    BOOST_TEST(run.keeper == "h1");
-    BOOST_TEST((run.asked_for >= milliseconds(120)));
+        place(*requester, prompt(7 + 2 * queries));
+        queries += 1;
+        const std::size_t answers = requester->responded.size();
+        run_until([&] { return requester->responded.size() > answers; }, milliseconds(200));
+    } while (attempt.coordinator.empty() && queries < 20U);
+    BOOST_TEST(attempt.coordinator == "h1");
+    BOOST_TEST((attempt.selection_time >= milliseconds(120)));
 }
 
-BOOST_FIXTURE_TEST_CASE(far_keeper_that_is_cut_off_is_not_waited_for_twice, far_keeper_fixture) {
-    way->silent = true;
-    place(*asker, prompt(5));
-    const instant asked = monotonic_now();
-    BOOST_TEST(!place(*asker, prompt(7)).empty());
-    BOOST_TEST((monotonic_now() - asked < milliseconds(10)));
-    BOOST_TEST(run.keeper.empty());
+BOOST_FIXTURE_TEST_CASE(unreachable_remote_coordinator_is_not_awaited_twice,
+                        remote_coordinator_fixture) {
+    proxy->silent = true;
+    place(*requester, prompt(5));
+    const instant started = monotonic_now();
+    BOOST_TEST(!place(*requester, prompt(7)).empty());
+    BOOST_TEST((monotonic_now() - started < milliseconds(10)));
+    BOOST_TEST(attempt.coordinator.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(request_is_placed_in_its_own_region_without_a_word_from_afar,
+BOOST_FIXTURE_TEST_CASE(request_is_placed_in_its_own_region_without_remote_replies,
                         two_regions_fixture) {
-    way->silent = true;
+    proxy->silent = true;
     for (std::uint64_t session = 101; session < 121; session += 2) {
-        place(*asker, chat(session));
-        BOOST_TEST(region_of_last() == "south");
-        BOOST_TEST(run.keeper == near_keeper->host);
+        place(*requester, short_prompt(session));
+        BOOST_TEST(region_of_last_attempt() == "south");
+        BOOST_TEST(attempt.coordinator == local_coordinator->host);
     }
 }
 
 BOOST_FIXTURE_TEST_CASE(request_that_would_be_late_in_its_region_goes_to_another_one,
                         two_regions_fixture) {
-    const std::size_t before = near_keeper->desk.runs();
-    fill_the_south();
-    place(*asker, chat(101));
-    BOOST_TEST(region_of_last() == "north");
-    BOOST_TEST(run.keeper == "h1");
-    // What was held for it in its own region is given back.
-    BOOST_REQUIRE(run_until([&] { return near_keeper->desk.runs() == before; }));
+    const std::size_t before = local_coordinator->placements.attempt_count();
+    fill_south();
+    place(*requester, short_prompt(101));
+    BOOST_TEST(region_of_last_attempt() == "north");
+    BOOST_TEST(attempt.coordinator == "h1");
+    // The attempt that was held in its own region is released.
+    BOOST_REQUIRE(
+        run_until([&] { return local_coordinator->placements.attempt_count() == before; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(request_stays_in_a_full_region_while_the_others_are_out_of_reach,
+BOOST_FIXTURE_TEST_CASE(request_stays_in_full_region_while_the_others_are_unreachable,
                         two_regions_fixture) {
-    fill_the_south();
-    way->silent = true;
-    place(*asker, chat(101));
-    BOOST_TEST(region_of_last() == "south");
-    BOOST_TEST(run.keeper == near_keeper->host);
-    const instant asked = monotonic_now();
-    place(*asker, chat(103));
-    BOOST_TEST(region_of_last() == "south");
-    BOOST_TEST((monotonic_now() - asked < milliseconds(40)));
+    fill_south();
+    proxy->silent = true;
+    place(*requester, short_prompt(101));
+    BOOST_TEST(region_of_last_attempt() == "south");
+    BOOST_TEST(attempt.coordinator == local_coordinator->host);
+    const instant started = monotonic_now();
+    place(*requester, short_prompt(103));
+    BOOST_TEST(region_of_last_attempt() == "south");
+    BOOST_TEST((monotonic_now() - started < milliseconds(40)));
 }
 
-BOOST_FIXTURE_TEST_CASE(other_region_that_is_full_too_is_not_asked_each_time, two_regions_fixture) {
-    fill_the_south();
+BOOST_FIXTURE_TEST_CASE(other_region_that_is_full_too_is_not_queried_each_time,
+                        two_regions_fixture) {
+    fill_south();
     for (int number = 7; number <= 12; ++number) {
-        keeper->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
-                                      prompt(500, 150'000), 150'000, true);
+        coordinator->targets.begin_attempt(monotonic_now(), "e" + std::to_string(number),
+                                           prompt(500, 150'000), 150'000, true);
     }
-    const std::size_t before = keeper->desk.runs();
-    const double asked = asker->counters.counter("placement_asks_afar_total");
+    const std::size_t before = coordinator->placements.attempt_count();
+    const double queries = requester->counters.counter("placement_asks_afar_total");
     for (std::uint64_t session = 101; session < 111; session += 2) {
-        place(*asker, chat(session));
-        BOOST_TEST(region_of_last() == "south");
+        place(*requester, short_prompt(session));
+        BOOST_TEST(region_of_last_attempt() == "south");
     }
-    BOOST_TEST(asker->counters.counter("placement_asks_afar_total") == asked + 1.0);
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == before; }));
+    BOOST_TEST(requester->counters.counter("placement_asks_afar_total") == queries + 1.0);
+    BOOST_REQUIRE(run_until([&] { return coordinator->placements.attempt_count() == before; }));
 }
 
 BOOST_FIXTURE_TEST_CASE(request_that_is_bound_to_a_full_region_stays_there, two_regions_fixture) {
-    fill_the_south();
-    engine_request bound = chat(101);
+    fill_south();
+    engine_request bound = short_prompt(101);
     bound.constraints.regions = {{"south"}};
-    place(*asker, bound);
-    BOOST_TEST(region_of_last() == "south");
+    place(*requester, bound);
+    BOOST_TEST(region_of_last_attempt() == "south");
 }
 
-BOOST_FIXTURE_TEST_CASE(place_held_for_a_caller_who_left_is_given_back_in_both_regions,
+BOOST_FIXTURE_TEST_CASE(attempt_whose_caller_left_is_released_in_both_regions,
                         two_regions_fixture) {
-    const std::size_t near_before = near_keeper->desk.runs();
-    const std::size_t far_before = keeper->desk.runs();
-    fill_the_south();
-    const double asked = asker->counters.counter("placement_asks_afar_total");
-    auto wish = begin(*asker, chat(101));
+    const std::size_t local_before = local_coordinator->placements.attempt_count();
+    const std::size_t remote_before = coordinator->placements.attempt_count();
+    fill_south();
+    const double queries = requester->counters.counter("placement_asks_afar_total");
+    auto handle = begin(*requester, short_prompt(101));
+    BOOST_REQUIRE(run_until(
+        [&] { return requester->counters.counter("placement_asks_afar_total") > queries; }));
+    handle.reset();
+    BOOST_REQUIRE(
+        run_until([&] { return local_coordinator->placements.attempt_count() == local_before; }));
     BOOST_REQUIRE(
-        run_until([&] { return asker->counters.counter("placement_asks_afar_total") > asked; }));
-    wish.reset();
-    BOOST_REQUIRE(run_until([&] { return near_keeper->desk.runs() == near_before; }));
-    BOOST_REQUIRE(run_until([&] { return keeper->desk.runs() == far_before; }));
+        run_until([&] { return coordinator->placements.attempt_count() == remote_before; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(choice_made_alone_does_not_price_the_way_to_the_keeper_that_was_asked,
+BOOST_FIXTURE_TEST_CASE(local_choice_does_not_cost_round_trip_of_queried_coordinator,
                         two_regions_fixture) {
     std::uint64_t session = 101;
-    const auto meets_afar = [&] {
-        const std::string_view met =
-            asker->targets.rendezvous_engine(monotonic_now(), service, long_to_read(session), {});
-        return asker->targets.region_of(met) == "north";
+    const auto maps_to_remote_region = [&] {
+        const std::string_view session_engine = requester->targets.rendezvous_engine(
+            monotonic_now(), service, long_prompt(session), {});
+        return requester->targets.region_of(session_engine) == "north";
     };
-    while (!meets_afar()) {
+    while (!maps_to_remote_region()) {
         session += 2;
     }
-    way->silent = true;
-    const double expected = asker->targets
+    proxy->silent = true;
+    const double expected = requester->targets
                                 .pick_engine(
-                                    monotonic_now(), service, long_to_read(session), {},
+                                    monotonic_now(), service, long_prompt(session), {},
                                     [](std::string_view) { return true; }, permit_share::fallback)
                                 .price.first_event_ms;
-    place(*asker, long_to_read(session));
-    BOOST_TEST(run.keeper.empty());
-    BOOST_TEST(region_of_last() == "south");
+    place(*requester, long_prompt(session));
+    BOOST_TEST(attempt.coordinator.empty());
+    BOOST_TEST(region_of_last_attempt() == "south");
     BOOST_TEST(choice.price.first_event_ms < expected + 5.0);
 }
 
--- a/tests/roles/request_charge_test.cpp
+++ b/tests/roles/request_charge_test.cpp
@@ -15,7 +15,7 @@
 struct charge_fixture {
     grant_table table;
     grant_holder holder{"h", incarnation_id{1}, {}, table};
-    token_waiters waiters{holder};
+    token_wait_queue waiters{holder};
 
     charge_fixture() {
         holder.set_limit(account, 20'000);
@@ -79,7 +79,7 @@
     const auto first = waiters.reserve(now, account, 15'000, [&](reserve_outcome outcome) {
         notified += outcome == reserve_outcome::reserved ? 1 : 100;
     });
-    BOOST_REQUIRE(first.waiting);
+    BOOST_REQUIRE(first.waiting_handle);
     waiters.serve(now);
     BOOST_TEST(notified == 0);
     grant_to(20'000);
@@ -90,15 +90,15 @@
 BOOST_AUTO_TEST_CASE(small_request_does_not_overtake_a_large_one_that_waits) {
     const auto large = waiters.reserve(now, account, 15'000, [](reserve_outcome) {});
     const auto small = waiters.reserve(now, account, 10, [](reserve_outcome) {});
-    BOOST_TEST(large.waiting != nullptr);
-    BOOST_TEST(small.waiting != nullptr);
+    BOOST_TEST(large.waiting_handle != nullptr);
+    BOOST_TEST(small.waiting_handle != nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(cancelled_wait_unblocks_the_next) {
     auto large = waiters.reserve(now, account, 15'000, [](reserve_outcome) {});
     int notified = 0;
     const auto small = waiters.reserve(now, account, 10, [&](reserve_outcome) { notified += 1; });
-    large.waiting.reset();
+    large.waiting_handle.reset();
     waiters.serve(now);
     BOOST_TEST(notified == 1);
     BOOST_TEST(waiters.size() == 0U);
@@ -109,7 +109,7 @@
     reserve_outcome result = reserve_outcome::reserved;
     const auto second =
         waiters.reserve(now, account, 30'000, [&](reserve_outcome outcome) { result = outcome; });
-    first.waiting.reset();
+    first.waiting_handle.reset();
     waiters.serve(now);
     BOOST_TEST((result == reserve_outcome::exhausted));
 }
--- a/tests/roles/rollout_exchange_test.cpp
+++ b/tests/roles/rollout_exchange_test.cpp
@@ -14,16 +14,16 @@
 
 const std::string service = "llm";
 
-/// What the judges of all processes think, and how many targets there are.
+/// The result of every process's evaluation, and the number of listed targets.
 struct rollout_world {
-    evaluation_result opinion = evaluation_result::undecided;
-    /// Nothing is judged on fewer requests to the old version.
-    std::uint64_t least_requests = 0;
-    rollout_target_numbers targets{10, 10};
+    evaluation_result result = evaluation_result::undecided;
+    /// The evaluation is undecided with fewer requests to the old version.
+    std::uint64_t min_requests = 0;
+    rollout_target_counts targets{10, 10};
 };
 
-/// One process that carries out roll-outs and may decide them, over a real bus. Its entry is told
-/// what the test wants to be counted.
+/// A process that carries out rollouts and may decide them, over a real bus. The test sets the
+/// counts that its gateway reports.
 class rollout_process {
 public:
     rollout_process(event_loop& loop, keyed_log& log, const rollout_world& world, int number)
@@ -32,46 +32,47 @@
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
           members(host, {}),
           ledger(loop, log, "rollouts", "status", counters,
-                 {[this](const rollout_record& record) { on_recorded(record); },
+                 {[this](const rollout_record& record) { on_record(record); },
                   [](const rollout_record& record) {
                       return keyed_record{record.service, name_of(record.state), 0};
                   },
                   [](bool) {}}),
           exchange(loop, *bus, members, own,
                    {[this] { return orders; }, [this](instant now) { return reports(now); },
-                    [this](instant, const rollout_directive& told) { stand = told; },
+                    [this](instant, const rollout_directive& received) { directive = received; },
                     [this](const rollout_order&) { return withdrawn; }},
                    ledger, counters,
                    {[&world](const rollout_order&) { return world.targets; },
-                    [this, &world](const rollout_evidence& shown, double) {
-                        judged = shown;
-                        const bool enough = shown.of_old_version().sent >= world.least_requests;
+                    [this, &world](const rollout_evidence& evidence_seen, double) {
+                        last_evaluated = evidence_seen;
+                        const bool has_enough =
+                            evidence_seen.of_old_version().sent >= world.min_requests;
                         return rollout_evaluation{
-                            enough ? world.opinion : evaluation_result::undecided, "judged"};
+                            has_enough ? world.result : evaluation_result::undecided, "judged"};
                     },
                     0.1}) {
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
-            if (runs && listens) {
+            if (is_running && accepts_messages) {
                 exchange.on_message(origin, message);
             }
         });
         ticker = loop.call_every(milliseconds(20), [this] {
-            if (runs) {
+            if (is_running) {
                 exchange.tick(monotonic_now());
             }
         });
     }
 
-    /// Sizes fall with the numbers, so that the first decides, then the second.
+    /// Sizes fall with the numbers, so that the first process decides, then the second.
     cluster_member self() const {
         const double size = 10.0 - static_cast<double>(raw(own));
         return {host, own, bus->endpoint(), size, {}, {}};
     }
 
-    void order(const rollout_order& given) {
-        orders = {given};
-        report.service = given.service;
-        report.order = given.number;
+    void order(const rollout_order& order_given) {
+        orders = {order_given};
+        report.service = order_given.service;
+        report.order = order_given.number;
         known_since = monotonic_now();
     }
 
@@ -80,11 +81,11 @@
     }
 
     rollout_state state() const {
-        const rollout_record* found = ledger.table().find(service);
-        return found == nullptr ? rollout_state::running : found->state;
+        const rollout_record* record = ledger.table().find(service);
+        return record == nullptr ? rollout_state::running : record->state;
     }
 
-    rollout_phase phase() const { return stand.phase; }
+    rollout_phase phase() const { return directive.phase; }
 
     incarnation_id own;
     std::string host;
@@ -96,29 +97,29 @@
     rollout_report report;
     rollout_evidence evidence;
     instant known_since{};
-    rollout_directive stand;
-    /// What this process's judge was last shown.
-    rollout_evidence judged;
+    rollout_directive directive;
+    /// The evidence that this process evaluated last.
+    rollout_evidence last_evaluated;
     bool withdrawn = false;
-    /// False while the process is frozen, or dead.
-    bool runs = true;
-    bool listens = true;
-    unsigned recorded = 0;
+    /// False while the process is frozen or dead.
+    bool is_running = true;
+    bool accepts_messages = true;
+    unsigned final_records_seen = 0;
     rollout_exchange exchange;
     std::unique_ptr<timer> ticker;
 
 private:
-    std::vector<entry_rollouts::told_evidence> reports(instant now) {
+    std::vector<rollout_gates::local_report> reports(instant now) {
         if (orders.empty() || is_ended()) {
             return {};
         }
-        rollout_report told = report;
-        told.known_for = now - known_since;
-        return {{told, evidence, stand.phase}};
+        rollout_report current = report;
+        current.known_for = now - known_since;
+        return {{current, evidence, directive.phase}};
     }
 
-    void on_recorded(const rollout_record& record) {
-        recorded += record.state == rollout_state::running ? 0 : 1;
+    void on_record(const rollout_record& record) {
+        final_records_seen += record.state == rollout_state::running ? 0 : 1;
     }
 };
 
@@ -127,7 +128,7 @@
     fake_keyed_log log{loop};
     rollout_world world;
     std::vector<std::unique_ptr<rollout_process>> processes;
-    rollout_order given{service, "v2", seconds(20), 7};
+    rollout_order order_given{service, "v2", seconds(20), 7};
 
     rollout_exchange_fixture() {
         for (int number = 1; number <= 3; ++number) {
@@ -142,17 +143,17 @@
 
     rollout_process& decider() { return *processes[0]; }
     rollout_process& successor() { return *processes[1]; }
-    rollout_process& entry() { return *processes[2]; }
+    rollout_process& other() { return *processes[2]; }
 
     void order_all() {
         for (const auto& process : processes) {
-            process->order(given);
+            process->order(order_given);
             process->evidence.counts[{"r", ""}].sent = 100;
             process->evidence.counts[{"r", "t" + process->host}].sent = 3;
         }
     }
 
-    /// Gives an order so old that the version is moved to once it is held for good.
+    /// Gives an order so old that its version moves as soon as it is found good.
     void order_all_near_the_deadline() {
         order_all();
         for (const auto& process : processes) {
@@ -162,15 +163,15 @@
 
     bool all_in(rollout_phase phase) const {
         return std::all_of(processes.begin(), processes.end(), [phase](const auto& process) {
-            return !process->runs || process->phase() == phase;
+            return !process->is_running || process->phase() == phase;
         });
     }
 
-    bool reach(rollout_phase phase, microseconds longest = seconds(5)) {
-        return run_until([this, phase] { return all_in(phase); }, longest);
+    bool reach(rollout_phase phase, microseconds timeout = seconds(5)) {
+        return run_until([this, phase] { return all_in(phase); }, timeout);
     }
 
-    void all_moved() {
+    void mark_all_moved() {
         for (const auto& process : processes) {
             process->report.moved = true;
         }
@@ -180,13 +181,13 @@
         return run_until(
             [this, state] {
                 return std::all_of(processes.begin(), processes.end(), [state](const auto& each) {
-                    return !each->runs || each->state() == state;
+                    return !each->is_running || each->state() == state;
                 });
             },
             seconds(8));
     }
 
-    /// The roll-out's records in the log that say a final state.
+    /// The number of the rollout's records in the log with a final state.
     std::size_t final_records() {
         std::size_t count = 0;
         log.read("rollouts", 0, microseconds(0), [&](const result<keyed_page>& page) {
@@ -211,152 +212,155 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(report_and_stand_on_the_wire_are_the_same_when_read) {
+BOOST_AUTO_TEST_CASE(report_and_directive_on_the_wire_are_the_same_when_read) {
     rollout_report report{service, 7, milliseconds(1500), true, 100, 9, true};
     rollout_evidence evidence;
     response_counts& counts = evidence.counts[{"r", "t"}];
     counts = {10, 7, 2, 1, {}, {}};
     counts.first_event.counts()[3] = 9;
     counts.event_interval.counts()[latency_histogram::buckets - 1] = 4;
-    const auto told = from_wire(to_wire(incarnation_id{4}, report, evidence));
-    BOOST_REQUIRE(told.has_value());
-    BOOST_TEST((told->process == incarnation_id{4}));
-    BOOST_TEST((told->evidence.counts == evidence.counts));
-    BOOST_TEST((told->report.known_for == report.known_for));
-    BOOST_TEST((told->report.moved && told->report.found_bad));
-    BOOST_TEST(told->report.reached == 100U);
-    BOOST_TEST(told->report.exposed == 9U);
-    const rollout_directive stand{service, 7, "v2", rollout_phase::moving, 0.4, 2, 99, -seconds(3)};
-    BOOST_TEST((from_wire(to_wire(stand)).value() == stand));
+    const auto decoded = from_wire(to_wire(incarnation_id{4}, report, evidence));
+    BOOST_REQUIRE(decoded.has_value());
+    BOOST_TEST((decoded->process == incarnation_id{4}));
+    BOOST_TEST((decoded->evidence.counts == evidence.counts));
+    BOOST_TEST((decoded->report.known_for == report.known_for));
+    BOOST_TEST((decoded->report.moved && decoded->report.found_bad));
+    BOOST_TEST(decoded->report.reached == 100U);
+    BOOST_TEST(decoded->report.exposed == 9U);
+    const rollout_directive directive{service, 7, "v2", rollout_phase::moving,
+                                      0.4,     2, 99,   -seconds(3)};
+    BOOST_TEST((from_wire(to_wire(directive)).value() == directive));
 }
 
-BOOST_AUTO_TEST_CASE(message_that_makes_no_sense_is_not_taken) {
+BOOST_AUTO_TEST_CASE(invalid_message_is_rejected) {
     wire::RolloutReport report;
     BOOST_TEST(!from_wire(report).has_value());
     report.set_service(service);
     BOOST_TEST(from_wire(report).has_value());
     report.set_known_for_ms(~0ULL);
     BOOST_TEST(!from_wire(report).has_value());
-    wire::RolloutStand stand;
-    stand.set_canary_part(2.0);
-    BOOST_TEST(!from_wire(stand).has_value());
-    stand.set_canary_part(0.5);
-    stand.set_phase(static_cast<wire::RolloutPhase>(77));
-    BOOST_TEST(!from_wire(stand).has_value());
+    wire::RolloutStand directive;
+    directive.set_canary_part(2.0);
+    BOOST_TEST(!from_wire(directive).has_value());
+    directive.set_canary_part(0.5);
+    directive.set_phase(static_cast<wire::RolloutPhase>(77));
+    BOOST_TEST(!from_wire(directive).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(decider_judges_the_evidence_of_all_and_all_hear_its_word) {
+BOOST_AUTO_TEST_CASE(decider_evaluates_all_reports_and_all_receive_its_directive) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    BOOST_TEST(decider().exchange.decides());
-    BOOST_TEST(!successor().exchange.decides());
-    BOOST_REQUIRE(run_until([this] { return decider().judged.of_old_version().sent == 300U; }));
-    BOOST_TEST(decider().judged.of_new_version().sent == 9U);
-    BOOST_TEST(successor().judged.counts.empty());
-    BOOST_TEST(entry().stand.group_size == 2U);
-    BOOST_TEST((entry().stand.group_seed == decider().stand.group_seed));
+    BOOST_TEST(decider().exchange.is_decider());
+    BOOST_TEST(!successor().exchange.is_decider());
+    BOOST_REQUIRE(
+        run_until([this] { return decider().last_evaluated.of_old_version().sent == 300U; }));
+    BOOST_TEST(decider().last_evaluated.of_new_version().sent == 9U);
+    BOOST_TEST(successor().last_evaluated.counts.empty());
+    BOOST_TEST(other().directive.group_size == 2U);
+    BOOST_TEST((other().directive.group_seed == decider().directive.group_seed));
 }
 
 BOOST_AUTO_TEST_CASE(good_version_is_completed_once_all_have_moved) {
-    world.opinion = evaluation_result::good;
+    world.result = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
     decider().report.moved = true;
     successor().report.moved = true;
-    // The end doesn't come before the deadline.
+    // The final state doesn't come before the deadline.
     run_for(milliseconds(2200));
     BOOST_TEST((decider().state() == rollout_state::running));
     const instant moved = monotonic_now();
-    entry().report.moved = true;
+    other().report.moved = true;
     BOOST_TEST(all_ended_as(rollout_state::completed));
     BOOST_TEST((monotonic_now() - moved < milliseconds(250)));
     BOOST_TEST(run_until([this] { return log.end_of("status") == 2U; }));
 }
 
-BOOST_AUTO_TEST_CASE(bad_version_gets_nothing_at_all_entries_within_a_second) {
+BOOST_AUTO_TEST_CASE(bad_version_gets_no_requests_at_any_gateway_within_a_second) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    const instant found = monotonic_now();
-    world.opinion = evaluation_result::bad;
+    const instant started = monotonic_now();
+    world.result = evaluation_result::bad;
     BOOST_TEST(run_until([this] {
         return std::all_of(processes.begin(), processes.end(), [](const auto& process) {
             return process->phase() == rollout_phase::waiting ||
                    process->state() == rollout_state::rolled_back;
         });
     }));
-    BOOST_TEST((monotonic_now() - found < seconds(1)));
+    BOOST_TEST((monotonic_now() - started < seconds(1)));
     BOOST_TEST(all_ended_as(rollout_state::rolled_back));
 }
 
-BOOST_AUTO_TEST_CASE(entry_that_finds_a_version_bad_stops_it_everywhere_at_once) {
+BOOST_AUTO_TEST_CASE(gateway_that_finds_version_bad_stops_it_everywhere_at_once) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    const instant found = monotonic_now();
-    entry().report.found_bad = true;
+    const instant started = monotonic_now();
+    other().report.found_bad = true;
     BOOST_TEST(all_ended_as(rollout_state::rolled_back));
-    BOOST_TEST((monotonic_now() - found < milliseconds(400)));
+    BOOST_TEST((monotonic_now() - started < milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(entry_that_reaches_no_decider_stops_a_bad_version_by_itself) {
+BOOST_AUTO_TEST_CASE(gateway_without_decider_stops_bad_version_by_itself) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    decider().listens = false;
-    successor().listens = false;
-    entry().report.found_bad = true;
+    decider().accepts_messages = false;
+    successor().accepts_messages = false;
+    other().report.found_bad = true;
     BOOST_TEST(all_ended_as(rollout_state::rolled_back));
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(decider_dies_while_the_order_waits) {
+BOOST_AUTO_TEST_CASE(decider_lost_in_waiting_phase_is_replaced) {
     world.targets.new_version = 0;
     order_all();
     BOOST_REQUIRE(run_until([this] { return log.end_of("rollouts") > 0; }));
-    decider().runs = false;
+    decider().is_running = false;
     world.targets.new_version = 10;
-    BOOST_TEST(run_until([this] { return successor().exchange.decides(); }));
+    BOOST_TEST(run_until([this] { return successor().exchange.is_decider(); }));
     BOOST_TEST(reach(rollout_phase::canary));
 }
 
-BOOST_AUTO_TEST_CASE(decider_dies_in_the_canary_and_its_successor_has_all_reports_of_the_living) {
+BOOST_AUTO_TEST_CASE(decider_lost_in_canary_phase_is_replaced_by_successor_with_all_live_reports) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    decider().runs = false;
-    BOOST_TEST(run_until([this] { return successor().exchange.decides(); }));
-    BOOST_REQUIRE(run_until([this] { return successor().judged.of_old_version().sent == 200U; }));
+    decider().is_running = false;
+    BOOST_TEST(run_until([this] { return successor().exchange.is_decider(); }));
+    BOOST_REQUIRE(
+        run_until([this] { return successor().last_evaluated.of_old_version().sent == 200U; }));
     BOOST_TEST(all_in(rollout_phase::canary));
-    world.opinion = evaluation_result::bad;
+    world.result = evaluation_result::bad;
     BOOST_TEST(all_ended_as(rollout_state::rolled_back));
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(decider_dies_while_the_version_is_moved_to) {
-    world.opinion = evaluation_result::good;
+BOOST_AUTO_TEST_CASE(decider_lost_in_moving_phase_is_replaced_without_undoing_the_move) {
+    world.result = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
-    world.least_requests = 200;
-    decider().runs = false;
-    // Until it has the others' reports the successor says nothing that takes the move back.
+    world.min_requests = 200;
+    decider().is_running = false;
+    // Until the successor has the others' reports it sends no directive that undoes the move.
     const instant lost = monotonic_now();
     BOOST_TEST(!run_until(
         [this, lost] {
             return !all_in(rollout_phase::moving) || monotonic_now() - lost > seconds(2);
         },
         milliseconds(1900)));
-    BOOST_TEST(successor().exchange.decides());
-    all_moved();
-    // The lost one is waited for as long as it may be out of touch.
+    BOOST_TEST(successor().exchange.is_decider());
+    mark_all_moved();
+    // The lost process is awaited for as long as a process may be unreachable.
     BOOST_TEST(all_ended_as(rollout_state::completed));
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(decider_dies_after_the_end_and_operators_still_read_it) {
+BOOST_AUTO_TEST_CASE(decider_lost_after_final_state_leaves_status_readable) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     BOOST_REQUIRE(run_until([this] { return log.end_of("status") == 1U; }));
-    world.opinion = evaluation_result::bad;
+    world.result = evaluation_result::bad;
     BOOST_REQUIRE(run_until([this] { return decider().state() == rollout_state::rolled_back; }));
-    decider().runs = false;
-    // The dead process's members record is replaced by that of another.
+    decider().is_running = false;
+    // The member record of the dead process is replaced by that of another.
     for (const auto& process : processes) {
         process->members.remove(decider().host);
     }
@@ -367,87 +371,87 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(decider_that_freezes_and_wakes_changes_nothing_that_was_decided) {
-    world.opinion = evaluation_result::good;
+BOOST_AUTO_TEST_CASE(decider_that_resumes_after_freeze_changes_no_final_state) {
+    world.result = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
-    decider().runs = false;
-    BOOST_REQUIRE(run_until([this] { return successor().exchange.decides(); }));
-    world.opinion = evaluation_result::bad;
+    decider().is_running = false;
+    BOOST_REQUIRE(run_until([this] { return successor().exchange.is_decider(); }));
+    world.result = evaluation_result::bad;
     BOOST_REQUIRE(all_ended_as(rollout_state::rolled_back));
     decider().report.moved = true;
-    world.opinion = evaluation_result::good;
-    decider().runs = true;
+    world.result = evaluation_result::good;
+    decider().is_running = true;
     run_for(seconds(1));
     BOOST_TEST(final_records() == 1U);
     BOOST_TEST((decider().state() == rollout_state::rolled_back));
 }
 
-BOOST_AUTO_TEST_CASE(decider_cut_off_from_the_others_completes_nothing_alone) {
-    world.opinion = evaluation_result::good;
+BOOST_AUTO_TEST_CASE(isolated_decider_completes_nothing) {
+    world.result = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
-    decider().listens = false;
-    BOOST_REQUIRE(run_until([this] { return successor().exchange.decides(); }));
-    // It has moved, and by its own view nobody else is there for longer than anyone may be out of
-    // touch; the log says that another decides.
+    decider().accepts_messages = false;
+    BOOST_REQUIRE(run_until([this] { return successor().exchange.is_decider(); }));
+    // It has moved, and as far as it knows the others have been gone for longer than a process may
+    // be unreachable; but the log names another decider.
     decider().report.moved = true;
     run_for(seconds(3));
     BOOST_TEST((decider().state() == rollout_state::running));
     BOOST_TEST(final_records() == 0U);
-    all_moved();
+    mark_all_moved();
     BOOST_TEST(all_ended_as(rollout_state::completed));
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(word_of_one_that_does_not_decide_changes_nothing) {
+BOOST_AUTO_TEST_CASE(directive_of_other_process_changes_nothing) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    rollout_directive other = entry().stand;
-    other.phase = rollout_phase::moving;
+    rollout_directive forged = other().directive;
+    forged.phase = rollout_phase::moving;
     wire::Envelope message;
-    *message.mutable_rollout_stand() = to_wire(other);
-    successor().bus->send(entry().bus->endpoint(), message);
+    *message.mutable_rollout_stand() = to_wire(forged);
+    successor().bus->send(other().bus->endpoint(), message);
     BOOST_REQUIRE(run_until(
-        [this] { return entry().counters.counter("rollout_stands_ignored_total") == 1U; }));
-    BOOST_TEST((entry().phase() == rollout_phase::canary));
+        [this] { return other().counters.counter("rollout_stands_ignored_total") == 1U; }));
+    BOOST_TEST((other().phase() == rollout_phase::canary));
 }
 
-BOOST_AUTO_TEST_CASE(
-    decider_that_the_log_does_not_name_completes_nothing_until_it_takes_over_again) {
-    world.opinion = evaluation_result::good;
+BOOST_AUTO_TEST_CASE(decider_not_named_in_log_completes_nothing_until_it_takes_over_again) {
+    world.result = evaluation_result::good;
     order_all_near_the_deadline();
     BOOST_REQUIRE(reach(rollout_phase::moving));
-    // By the log it is another that decides.
+    // The log names another process as the decider.
     rollout_record record = *decider().ledger.table().find(service);
     record.decider = incarnation_id{99};
     log.put("rollouts", service, encode_rollout(record).value);
     run_for(milliseconds(100));
-    all_moved();
+    mark_all_moved();
     run_for(milliseconds(600));
     BOOST_TEST((decider().state() == rollout_state::running));
-    // Which no longer writes, so that the first takes the roll-out back.
+    // That process no longer writes, so the first one takes over the rollout again.
     BOOST_TEST(all_ended_as(rollout_state::completed));
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(report_that_is_lost_delays_and_changes_nothing) {
+BOOST_AUTO_TEST_CASE(lost_report_delays_and_changes_nothing) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
-    decider().listens = false;
-    entry().evidence.counts[{"r", ""}].sent = 150;
+    decider().accepts_messages = false;
+    other().evidence.counts[{"r", ""}].sent = 150;
     run_for(milliseconds(300));
-    decider().listens = true;
-    BOOST_TEST(run_until([this] { return decider().judged.of_old_version().sent == 350U; }));
-    BOOST_TEST(decider().exchange.decides());
-    BOOST_TEST(!successor().exchange.decides());
+    decider().accepts_messages = true;
+    BOOST_TEST(
+        run_until([this] { return decider().last_evaluated.of_old_version().sent == 350U; }));
+    BOOST_TEST(decider().exchange.is_decider());
+    BOOST_TEST(!successor().exchange.is_decider());
 }
 
-BOOST_AUTO_TEST_CASE(store_that_is_dark_changes_no_state_and_the_end_follows_when_it_is_back) {
+BOOST_AUTO_TEST_CASE(log_outage_changes_no_state_and_final_state_follows_when_it_is_over) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     log.down = true;
-    world.opinion = evaluation_result::bad;
+    world.result = evaluation_result::bad;
     BOOST_TEST(reach(rollout_phase::waiting));
     run_for(milliseconds(500));
     BOOST_TEST((decider().state() == rollout_state::running));
@@ -456,7 +460,7 @@
     BOOST_TEST(final_records() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(order_that_is_withdrawn_is_shown_as_rolled_back) {
+BOOST_AUTO_TEST_CASE(withdrawn_order_is_recorded_as_rolled_back) {
     order_all();
     BOOST_REQUIRE(reach(rollout_phase::canary));
     for (const auto& process : processes) {
@@ -466,14 +470,14 @@
     BOOST_TEST(decider().ledger.table().find(service)->reason == "withdrawn by the operator");
 }
 
-BOOST_AUTO_TEST_CASE(later_order_begins_anew_after_an_end) {
+BOOST_AUTO_TEST_CASE(later_order_starts_a_new_rollout_after_final_state) {
     order_all();
-    world.opinion = evaluation_result::bad;
+    world.result = evaluation_result::bad;
     BOOST_REQUIRE(all_ended_as(rollout_state::rolled_back));
-    world.opinion = evaluation_result::undecided;
-    given.number = 8;
+    world.result = evaluation_result::undecided;
+    order_given.number = 8;
     for (const auto& process : processes) {
-        process->order(given);
+        process->order(order_given);
     }
     BOOST_TEST(reach(rollout_phase::canary));
     BOOST_TEST((decider().state() == rollout_state::running));
--- a/tests/roles/suspect_exchange_test.cpp
+++ b/tests/roles/suspect_exchange_test.cpp
@@ -15,19 +15,19 @@
 
 const digest request{1, 1};
 
-target_incarnation life(int number) {
+target_incarnation incarnation(int number) {
     return {"t" + std::to_string(number), 1};
 }
 
-/// One entry's part in the fleet's knowledge, over a real bus.
-class suspecting_process {
+/// The suspect exchange of one gateway, over a real bus.
+class gateway_process {
 public:
-    suspecting_process(event_loop& loop, keyed_log& log, int number)
+    gateway_process(event_loop& loop, keyed_log& log, int number)
         : host("h" + std::to_string(number)),
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
           members(host, {}),
           exchange(loop, log, "suspects", *bus, members, counters,
-                   {[this](const digest& each) { stopped.insert(each); }, [](bool) {}}) {
+                   {[this](const digest& each) { quarantined.insert(each); }, [](bool) {}}) {
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
             exchange.on_message(origin, message);
         });
@@ -37,98 +37,102 @@
 
     cluster_member self() const { return {host, {}, bus->endpoint(), 1.0, {}, {}, {}}; }
 
-    void sees_end(int number) { exchange.ended(life(number), std::span(&request, 1)); }
-    suspicion held() const { return exchange.held_of(request); }
+    void record_crash(int number) {
+        exchange.record_crash(incarnation(number), std::span(&request, 1));
+    }
+    suspicion suspicion_held() const { return exchange.suspicion_of(request); }
 
     std::string host;
     metrics counters;
     std::unique_ptr<message_bus> bus;
     token_allocator_selector members;
-    std::set<digest> stopped;
+    std::set<digest> quarantined;
     suspect_exchange exchange;
     std::unique_ptr<timer> ticker;
 };
 
-/// Three entries that know each other, with one log.
+/// Three gateways that know each other and share a log.
 struct suspect_exchange_fixture : loop_runner {
     fake_keyed_log log{loop};
-    suspecting_process first{loop, log, 1};
-    suspecting_process second{loop, log, 2};
-    suspecting_process third{loop, log, 3};
+    gateway_process first{loop, log, 1};
+    gateway_process second{loop, log, 2};
+    gateway_process third{loop, log, 3};
 
     suspect_exchange_fixture() {
-        for (suspecting_process* each : {&first, &second, &third}) {
-            for (const suspecting_process* other : {&first, &second, &third}) {
+        for (gateway_process* each : {&first, &second, &third}) {
+            for (const gateway_process* other : {&first, &second, &third}) {
                 each->members.apply(other->self());
             }
         }
         run_for(milliseconds(50));
     }
 
-    bool all_hold(suspicion wanted) const {
-        return first.held() == wanted && second.held() == wanted && third.held() == wanted;
+    bool all_have(suspicion wanted) const {
+        return first.suspicion_held() == wanted && second.suspicion_held() == wanted &&
+               third.suspicion_held() == wanted;
     }
 };
 
 BOOST_FIXTURE_TEST_SUITE(suspect_exchange_test, suspect_exchange_fixture)
 
-BOOST_AUTO_TEST_CASE(ends_that_different_entries_see_add_up_at_all) {
-    first.sees_end(1);
-    second.sees_end(2);
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::suspected); }));
-    third.sees_end(3);
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::quarantined); }));
-    BOOST_TEST(run_until([this] { return first.stopped.contains(request); }));
+BOOST_AUTO_TEST_CASE(crashes_seen_by_different_gateways_add_up_at_all) {
+    first.record_crash(1);
+    second.record_crash(2);
+    BOOST_TEST(run_until([this] { return all_have(suspicion::suspected); }));
+    third.record_crash(3);
+    BOOST_TEST(run_until([this] { return all_have(suspicion::quarantined); }));
+    BOOST_TEST(run_until([this] { return first.quarantined.contains(request); }));
 }
 
-BOOST_AUTO_TEST_CASE(end_that_several_entries_see_counts_once) {
-    first.sees_end(1);
-    second.sees_end(1);
-    third.sees_end(1);
+BOOST_AUTO_TEST_CASE(crash_seen_by_several_gateways_counts_once) {
+    first.record_crash(1);
+    second.record_crash(1);
+    third.record_crash(1);
     run_for(milliseconds(700));
-    BOOST_TEST(all_hold(suspicion::suspected));
-    BOOST_TEST(first.exchange.ends_of(request) == 1U);
+    BOOST_TEST(all_have(suspicion::suspected));
+    BOOST_TEST(first.exchange.crash_count(request) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(request_that_ended_well_at_one_entry_is_cleared_at_all) {
-    first.sees_end(1);
-    first.sees_end(2);
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::suspected); }));
-    third.exchange.ended_well(request);
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::none); }));
+BOOST_AUTO_TEST_CASE(request_completed_at_one_gateway_is_cleared_at_all) {
+    first.record_crash(1);
+    first.record_crash(2);
+    BOOST_TEST(run_until([this] { return all_have(suspicion::suspected); }));
+    third.exchange.record_success(request);
+    BOOST_TEST(run_until([this] { return all_have(suspicion::none); }));
 }
 
-BOOST_AUTO_TEST_CASE(request_that_has_ended_well_before_at_one_entry_is_held_at_none_for_long) {
-    third.exchange.ended_well(request);
+BOOST_AUTO_TEST_CASE(request_completed_earlier_at_one_gateway_is_soon_cleared_at_all) {
+    third.exchange.record_success(request);
     for (int number = 1; number <= 3; ++number) {
-        first.sees_end(number);
+        first.record_crash(number);
     }
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::none); }, seconds(2)));
+    BOOST_TEST(run_until([this] { return all_have(suspicion::none); }, seconds(2)));
     run_for(seconds(1));
-    BOOST_TEST(all_hold(suspicion::none));
+    BOOST_TEST(all_have(suspicion::none));
 }
 
-BOOST_AUTO_TEST_CASE(ends_in_a_dark_log_are_known_to_all_and_to_who_starts_after_it) {
+BOOST_AUTO_TEST_CASE(crashes_during_log_outage_reach_all_and_gateways_started_later) {
     log.down = true;
-    first.sees_end(1);
-    second.sees_end(2);
-    first.sees_end(3);
-    BOOST_TEST(run_until([this] { return all_hold(suspicion::quarantined); }, seconds(2)));
+    first.record_crash(1);
+    second.record_crash(2);
+    first.record_crash(3);
+    BOOST_TEST(run_until([this] { return all_have(suspicion::quarantined); }, seconds(2)));
     log.down = false;
-    suspecting_process later(loop, log, 4);
-    BOOST_TEST(run_until([&] { return later.held() == suspicion::quarantined; }, seconds(3)));
+    gateway_process later(loop, log, 4);
+    BOOST_TEST(
+        run_until([&] { return later.suspicion_held() == suspicion::quarantined; }, seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(news_that_are_damaged_change_nothing) {
+BOOST_AUTO_TEST_CASE(damaged_message_changes_nothing) {
     wire::Envelope message;
-    wire::SuspectNews& news = *message.mutable_suspect_news();
-    news.add_ends();
+    wire::SuspectNews& batch = *message.mutable_suspect_news();
+    batch.add_ends();
     BOOST_TEST(first.exchange.on_message({}, message));
     for (int number = 0; number < 1000; ++number) {
-        news.add_ends()->set_target("t");
+        batch.add_ends()->set_target("t");
     }
     BOOST_TEST(first.exchange.on_message({}, message));
-    BOOST_TEST(!first.exchange.any());
+    BOOST_TEST(!first.exchange.has_suspects());
     BOOST_TEST(!first.exchange.on_message({}, wire::Envelope{}));
 }
 
--- a/tests/roles/token_exchange_test.cpp
+++ b/tests/roles/token_exchange_test.cpp
@@ -17,29 +17,30 @@
 constexpr const char* account = "a";
 constexpr tokens limit = 100'000;
 
-/// One entry of the fleet, over a real bus. Appends to the ledger are done at once, in a table that
-/// all entries share.
-class entry_process {
+/// A gateway with a real bus. Appends to the ledger take effect at once in a table that all
+/// gateways share.
+class gateway_process {
 public:
-    entry_process(event_loop& loop, grant_table& shared, int number, std::string stands_in = {})
+    gateway_process(event_loop& loop, grant_table& shared, int number, std::string own_region = {})
         : host("h" + std::to_string(number)),
-          region(std::move(stands_in)),
+          region(std::move(own_region)),
           bus(message_bus::open(loop, {"tcp://127.0.0.1:0", {}, {}}).value()),
-          homes(host, allocator_settings(region)),
+          allocators(host, allocator_settings(region)),
           grants(host, incarnation_id(static_cast<std::uint64_t>(number)), {}, shared),
-          waiters(grants),
-          exchange(loop, *bus, homes, grants, waiters, counters, quick_settings(),
-                   {[this, &shared] { append(shared); }, [this] { return can_help; },
-                    [this] { return log_answers; }, [this] { return link_is_full; },
-                    [this](const std::string& home) { silent.push_back(home); }}) {
+          wait_queue(grants),
+          exchange(loop, *bus, allocators, grants, wait_queue, counters, short_settings(),
+                   {[this, &shared] { append(shared); }, [this] { return can_allocate; },
+                    [this] { return log_reachable; }, [this] { return link_saturated; },
+                    [this](const std::string& host_name) { unresponsive.push_back(host_name); }}) {
         grants.set_limit(account, limit);
-        grants.set_draw_ahead_filter(
-            [this](const std::string& name) { return homes.is_allocator(monotonic_now(), name); });
+        grants.set_draw_ahead_filter([this](const std::string& name) {
+            return allocators.is_allocator(monotonic_now(), name);
+        });
         bus->on_message([this](const message_origin& origin, const wire::Envelope& message) {
-            if (listens) {
+            if (accepts_messages) {
                 exchange.on_message(origin, message);
             } else {
-                unheard.push_back(message);
+                unhandled.push_back(message);
             }
         });
         bus->on_undelivered([this](const std::string&, const wire::Envelope& message) {
@@ -47,23 +48,23 @@
         });
     }
 
-    static token_exchange_settings quick_settings() {
+    static token_exchange_settings short_settings() {
         token_exchange_settings settings;
-        settings.silence = milliseconds(100);
-        settings.wait = milliseconds(300);
-        settings.short_wait = milliseconds(100);
+        settings.reply_timeout = milliseconds(100);
+        settings.wait_timeout = milliseconds(300);
+        settings.short_wait_timeout = milliseconds(100);
         return settings;
     }
 
     void append(grant_table& shared) {
-        if (!log_answers) {
+        if (!log_reachable) {
             return;
         }
         for (const grant_record& record : grants.compose_records(monotonic_now())) {
             shared.apply(record);
         }
         grants.on_append_resolved();
-        waiters.serve(monotonic_now());
+        wait_queue.serve(monotonic_now());
     }
 
     static token_allocator_settings allocator_settings(const std::string& region) {
@@ -79,40 +80,40 @@
 
     std::string host;
     std::string region;
-    bool listens = true;
-    bool can_help = true;
-    bool log_answers = true;
-    bool link_is_full = false;
-    std::vector<wire::Envelope> unheard;
-    std::vector<std::string> silent;
+    bool accepts_messages = true;
+    bool can_allocate = true;
+    bool log_reachable = true;
+    bool link_saturated = false;
+    std::vector<wire::Envelope> unhandled;
+    std::vector<std::string> unresponsive;
     metrics counters;
     std::unique_ptr<message_bus> bus;
-    token_allocator_selector homes;
+    token_allocator_selector allocators;
     grant_holder grants;
-    token_waiters waiters;
+    token_wait_queue wait_queue;
     token_exchange exchange;
 };
 
-/// Three entries that know each other.
+/// Three gateways that know each other.
 struct exchange_fixture : loop_runner {
     grant_table table;
-    std::vector<std::unique_ptr<entry_process>> entries;
+    std::vector<std::unique_ptr<gateway_process>> gateways;
     std::optional<reserve_outcome> outcome;
     std::shared_ptr<token_exchange::handle> handle;
 
     exchange_fixture() {
         for (int number = 1; number <= 3; ++number) {
-            entries.push_back(std::make_unique<entry_process>(loop, table, number));
+            gateways.push_back(std::make_unique<gateway_process>(loop, table, number));
         }
-        for (const auto& each : entries) {
-            for (const auto& other : entries) {
-                each->homes.apply(other->self());
+        for (const auto& each : gateways) {
+            for (const auto& other : gateways) {
+                each->allocators.apply(other->self());
             }
         }
     }
 
-    entry_process& by_host(const std::string& host) {
-        for (const auto& each : entries) {
+    gateway_process& by_host(const std::string& host) {
+        for (const auto& each : gateways) {
             if (each->host == host) {
                 return *each;
             }
@@ -120,43 +121,44 @@
         throw std::out_of_range(host);
     }
 
-    entry_process& home() {
-        return by_host(entries.front()->homes.allocator_of(monotonic_now(), account)->host);
+    gateway_process& allocator() {
+        return by_host(gateways.front()->allocators.allocator_of(monotonic_now(), account)->host);
     }
 
-    /// The one that is asked after the home.
-    entry_process& second_home() {
-        const std::vector<std::string> tried{home().host};
-        return by_host(entries.front()->homes.allocator_of(monotonic_now(), account, tried)->host);
+    /// The allocator that is queried after the first one.
+    gateway_process& second_allocator() {
+        const std::vector<std::string> tried{allocator().host};
+        return by_host(
+            gateways.front()->allocators.allocator_of(monotonic_now(), account, tried)->host);
     }
 
-    /// An entry that is neither of both.
-    entry_process& asker() {
-        for (const auto& each : entries) {
-            if (each->host != home().host && each->host != second_home().host) {
+    /// A gateway that is neither of the two.
+    gateway_process& requester() {
+        for (const auto& each : gateways) {
+            if (each->host != allocator().host && each->host != second_allocator().host) {
                 return *each;
             }
         }
         throw std::out_of_range("asker");
     }
 
-    /// Reserves at an entry and waits for what becomes of it.
-    reserve_outcome reserve(entry_process& entry, tokens amount) {
+    /// Reserves at a gateway and waits for the outcome.
+    reserve_outcome reserve(gateway_process& gateway, tokens amount) {
         outcome.reset();
-        const auto found = entry.exchange.reserve(
+        const auto found = gateway.exchange.reserve(
             monotonic_now(), account, amount, [this](reserve_outcome result) { outcome = result; });
-        if (!found.waiting) {
-            return found.now;
+        if (!found.waiting_handle) {
+            return found.outcome;
         }
-        handle = found.waiting;
+        handle = found.waiting_handle;
         BOOST_REQUIRE(run_until([this] { return outcome.has_value(); }));
         return *outcome;
     }
 
-    /// The tokens that can still be spent, wherever they are.
+    /// The tokens that can still be spent at any process.
     tokens spendable() {
         tokens sum = limit - table.granted(account);
-        for (const auto& each : entries) {
+        for (const auto& each : gateways) {
             sum += each->grants.free_tokens(account);
         }
         return sum;
@@ -167,246 +169,248 @@
 
 BOOST_FIXTURE_TEST_SUITE(token_exchange_test, exchange_fixture)
 
-BOOST_AUTO_TEST_CASE(request_elsewhere_is_paid_by_the_home) {
-    entry_process& entry = asker();
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
-    BOOST_TEST(entry.grants.reserved(account) == 5000);
+BOOST_AUTO_TEST_CASE(request_at_another_gateway_is_served_by_allocator) {
+    gateway_process& gateway = requester();
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
+    BOOST_TEST(gateway.grants.reserved(account) == 5000);
     BOOST_TEST(table.grants().size() == 1U);
-    BOOST_TEST(table.grants().begin()->first.host == home().host);
+    BOOST_TEST(table.grants().begin()->first.host == allocator().host);
 }
 
-BOOST_AUTO_TEST_CASE(request_at_the_home_asks_nobody) {
-    BOOST_TEST((reserve(home(), 5000) == reserve_outcome::reserved));
-    BOOST_TEST(home().counters.counter("token_asks_total") == 0);
+BOOST_AUTO_TEST_CASE(request_at_allocator_sends_no_query) {
+    BOOST_TEST((reserve(allocator(), 5000) == reserve_outcome::reserved));
+    BOOST_TEST(allocator().counters.counter("token_asks_total") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(unused_tokens_go_back_to_the_home) {
-    entry_process& entry = asker();
+BOOST_AUTO_TEST_CASE(unused_tokens_are_returned_to_allocator) {
+    gateway_process& gateway = requester();
     const tokens before = spendable();
-    BOOST_REQUIRE((reserve(entry, 5000) == reserve_outcome::reserved));
-    entry.grants.spend(monotonic_now(), account, 2000);
-    entry.grants.release(account, 3000);
-    entry.exchange.return_free(monotonic_now());
+    BOOST_REQUIRE((reserve(gateway, 5000) == reserve_outcome::reserved));
+    gateway.grants.spend(monotonic_now(), account, 2000);
+    gateway.grants.release(account, 3000);
+    gateway.exchange.return_free_tokens(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == before - 2000; }));
-    BOOST_TEST(entry.grants.free_tokens(account) == 0);
+    BOOST_TEST(gateway.grants.free_tokens(account) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(requests_at_once_are_paid_by_few_asks) {
-    entry_process& entry = asker();
-    // The home learns what to have in hand.
-    for (int turn = 0; turn < 10; ++turn) {
-        BOOST_REQUIRE((reserve(entry, 3000) == reserve_outcome::reserved));
-        entry.grants.spend(monotonic_now(), account, 3000);
+BOOST_AUTO_TEST_CASE(concurrent_requests_are_served_by_few_queries) {
+    gateway_process& gateway = requester();
+    // The allocator learns how many tokens to keep available.
+    for (int round = 0; round < 10; ++round) {
+        BOOST_REQUIRE((reserve(gateway, 3000) == reserve_outcome::reserved));
+        gateway.grants.spend(monotonic_now(), account, 3000);
     }
-    entry.exchange.return_free(monotonic_now());
-    const std::uint64_t before = entry.counters.counter("token_asks_total");
+    gateway.exchange.return_free_tokens(monotonic_now());
+    const std::uint64_t before = gateway.counters.counter("token_asks_total");
     constexpr int requests = 20;
-    int paid = 0;
+    int served = 0;
     std::vector<std::shared_ptr<token_exchange::handle>> handles;
-    for (int turn = 0; turn < requests; ++turn) {
-        handles.push_back(entry.exchange
-                              .reserve(monotonic_now(), account, 100 + turn,
-                                       [&paid](reserve_outcome result) {
-                                           paid += result == reserve_outcome::reserved ? 1 : 0;
+    for (int round = 0; round < requests; ++round) {
+        handles.push_back(gateway.exchange
+                              .reserve(monotonic_now(), account, 100 + round,
+                                       [&served](reserve_outcome result) {
+                                           served += result == reserve_outcome::reserved ? 1 : 0;
                                        })
-                              .waiting);
+                              .waiting_handle);
     }
-    BOOST_TEST(run_until([&] { return paid == requests; }));
-    BOOST_TEST(entry.counters.counter("token_asks_total") - before <= 10U);
+    BOOST_TEST(run_until([&] { return served == requests; }));
+    BOOST_TEST(gateway.counters.counter("token_asks_total") - before <= 10U);
 }
 
 BOOST_AUTO_TEST_CASE(large_request_is_not_starved_by_small_ones_beside_it) {
-    entry_process& entry = asker();
+    gateway_process& gateway = requester();
     std::vector<std::shared_ptr<token_exchange::handle>> handles;
-    bool large_paid = false;
+    bool large_served = false;
     const auto small = [&] {
         handles.push_back(
-            entry.exchange.reserve(monotonic_now(), account, 10, [](reserve_outcome) {}).waiting);
+            gateway.exchange.reserve(monotonic_now(), account, 10, [](reserve_outcome) {})
+                .waiting_handle);
     };
     small();
-    handles.push_back(entry.exchange
+    handles.push_back(gateway.exchange
                           .reserve(monotonic_now(), account, 20'000,
                                    [&](reserve_outcome result) {
-                                       large_paid = result == reserve_outcome::reserved;
+                                       large_served = result == reserve_outcome::reserved;
                                    })
-                          .waiting);
+                          .waiting_handle);
     BOOST_TEST(run_until([&] {
         small();
-        return large_paid;
+        return large_served;
     }));
 }
 
-BOOST_AUTO_TEST_CASE(tokens_asked_ahead_are_the_askers_and_go_back_unused) {
-    entry_process& entry = asker();
-    for (int turn = 0; turn < 20; ++turn) {
-        BOOST_REQUIRE((reserve(entry, 500) == reserve_outcome::reserved));
-        entry.grants.spend(monotonic_now(), account, 500);
+BOOST_AUTO_TEST_CASE(unused_tokens_of_query_ahead_are_returned) {
+    gateway_process& gateway = requester();
+    for (int round = 0; round < 20; ++round) {
+        BOOST_REQUIRE((reserve(gateway, 500) == reserve_outcome::reserved));
+        gateway.grants.spend(monotonic_now(), account, 500);
     }
-    // It knows by now what its requests need, and asks for more than one.
-    BOOST_TEST(entry.counters.counter("token_asks_total") < 20U);
+    // The gateway has learnt the demand of its requests and queries for more than one at a time.
+    BOOST_TEST(gateway.counters.counter("token_asks_total") < 20U);
     BOOST_TEST(spendable() == limit - 20 * 500);
-    entry.exchange.return_free(monotonic_now());
+    gateway.exchange.return_free_tokens(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == limit - 20 * 500; }));
-    BOOST_TEST(entry.grants.free_tokens(account) == 0);
+    BOOST_TEST(gateway.grants.free_tokens(account) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(requests_behind_one_whose_home_is_silent_are_paid_elsewhere) {
-    home().listens = false;
-    entry_process& entry = asker();
-    int paid = 0;
+BOOST_AUTO_TEST_CASE(requests_behind_one_with_unresponsive_allocator_are_served_elsewhere) {
+    allocator().accepts_messages = false;
+    gateway_process& gateway = requester();
+    int served = 0;
     std::vector<std::shared_ptr<token_exchange::handle>> handles;
-    for (int turn = 0; turn < 5; ++turn) {
-        handles.push_back(entry.exchange
+    for (int round = 0; round < 5; ++round) {
+        handles.push_back(gateway.exchange
                               .reserve(monotonic_now(), account, 100,
-                                       [&paid](reserve_outcome result) {
-                                           paid += result == reserve_outcome::reserved ? 1 : 0;
+                                       [&served](reserve_outcome result) {
+                                           served += result == reserve_outcome::reserved ? 1 : 0;
                                        })
-                              .waiting);
+                              .waiting_handle);
     }
-    BOOST_TEST(run_until([&] { return paid == 5; }));
+    BOOST_TEST(run_until([&] { return served == 5; }));
 }
 
 BOOST_AUTO_TEST_CASE(budget_that_cannot_hold_it_is_exhausted) {
-    BOOST_TEST((reserve(asker(), limit + 1) == reserve_outcome::exhausted));
+    BOOST_TEST((reserve(requester(), limit + 1) == reserve_outcome::exhausted));
 }
 
-BOOST_AUTO_TEST_CASE(silent_home_is_passed_over_at_once_by_later_requests) {
-    home().listens = false;
-    entry_process& entry = asker();
-    const entry_process& lost = home();
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
+BOOST_AUTO_TEST_CASE(unresponsive_allocator_is_skipped_at_once_by_later_requests) {
+    allocator().accepts_messages = false;
+    gateway_process& gateway = requester();
+    const gateway_process& lost = allocator();
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
     const instant began = monotonic_now();
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
     BOOST_TEST((monotonic_now() - began < milliseconds(90)));
-    BOOST_TEST(entry.homes.allocator_of(monotonic_now(), account)->host != lost.host);
+    BOOST_TEST(gateway.allocators.allocator_of(monotonic_now(), account)->host != lost.host);
 }
 
-BOOST_AUTO_TEST_CASE(entry_whose_homes_are_all_silent_draws_by_itself) {
-    for (const auto& each : entries) {
-        each->listens = false;
+BOOST_AUTO_TEST_CASE(gateway_with_unresponsive_allocators_draws_tokens_itself) {
+    for (const auto& each : gateways) {
+        each->accepts_messages = false;
     }
-    entry_process& entry = asker();
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
+    gateway_process& gateway = requester();
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
     BOOST_TEST(table.granted(account) >= 5000);
-    BOOST_TEST(table.find({account, entry.host}).granted >= 5000);
+    BOOST_TEST(table.find({account, gateway.host}).granted >= 5000);
 }
 
-BOOST_AUTO_TEST_CASE(silent_homes_are_reported_in_turn) {
-    const std::vector<std::string> expected{home().host, second_home().host};
-    entry_process& entry = asker();
-    home().listens = false;
-    by_host(expected[1]).listens = false;
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
-    BOOST_TEST(entry.silent == expected, boost::test_tools::per_element());
+BOOST_AUTO_TEST_CASE(unresponsive_allocators_are_reported_in_turn) {
+    const std::vector<std::string> expected{allocator().host, second_allocator().host};
+    gateway_process& gateway = requester();
+    allocator().accepts_messages = false;
+    by_host(expected[1]).accepts_messages = false;
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
+    BOOST_TEST(gateway.unresponsive == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(entry_whose_own_link_is_full_holds_no_silent_home_for_lost) {
-    entry_process& entry = asker();
-    const std::string first = entry.homes.allocator_of(monotonic_now(), account)->host;
-    entry.link_is_full = true;
-    home().listens = false;
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::reserved));
-    BOOST_TEST(entry.homes.allocator_of(monotonic_now(), account)->host == first);
+BOOST_AUTO_TEST_CASE(gateway_with_saturated_link_takes_no_allocator_for_lost) {
+    gateway_process& gateway = requester();
+    const std::string first = gateway.allocators.allocator_of(monotonic_now(), account)->host;
+    gateway.link_saturated = true;
+    allocator().accepts_messages = false;
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::reserved));
+    BOOST_TEST(gateway.allocators.allocator_of(monotonic_now(), account)->host == first);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_requests_are_refused_when_nobody_is_reached) {
-    for (const auto& each : entries) {
-        each->listens = false;
-        each->log_answers = false;
+BOOST_AUTO_TEST_CASE(waiting_requests_are_refused_when_no_process_is_reachable) {
+    for (const auto& each : gateways) {
+        each->accepts_messages = false;
+        each->log_reachable = false;
     }
-    entry_process& entry = asker();
+    gateway_process& gateway = requester();
     outcome.reset();
-    handle = entry.exchange
+    handle = gateway.exchange
                  .reserve(monotonic_now(), account, 5000,
                           [this](reserve_outcome result) { outcome = result; })
-                 .waiting;
+                 .waiting_handle;
     BOOST_REQUIRE(handle);
-    entry.exchange.refuse_waiting();
+    gateway.exchange.refuse_waiting();
     BOOST_REQUIRE(outcome.has_value());
     BOOST_TEST((*outcome == reserve_outcome::short_of_tokens));
 }
 
-BOOST_AUTO_TEST_CASE(request_without_homes_and_log_is_refused_at_once) {
-    entry_process& entry = asker();
-    for (const auto& each : entries) {
-        each->log_answers = false;
-        if (each->host != entry.host) {
-            entry.homes.remove(each->host);
+BOOST_AUTO_TEST_CASE(request_without_allocators_and_log_is_refused_at_once) {
+    gateway_process& gateway = requester();
+    for (const auto& each : gateways) {
+        each->log_reachable = false;
+        if (each->host != gateway.host) {
+            gateway.allocators.remove(each->host);
         }
     }
     const instant began = monotonic_now();
-    BOOST_TEST((reserve(entry, 5000) == reserve_outcome::short_of_tokens));
+    BOOST_TEST((reserve(gateway, 5000) == reserve_outcome::short_of_tokens));
     BOOST_TEST((monotonic_now() - began < milliseconds(50)));
 }
 
-BOOST_AUTO_TEST_CASE(home_that_stops_sends_the_asker_on) {
-    home().can_help = false;
-    BOOST_TEST((reserve(asker(), 5000) == reserve_outcome::reserved));
-    BOOST_TEST(second_home().grants.max_remaining(account) == limit - 5000);
+BOOST_AUTO_TEST_CASE(allocator_that_shuts_down_redirects_requester) {
+    allocator().can_allocate = false;
+    BOOST_TEST((reserve(requester(), 5000) == reserve_outcome::reserved));
+    BOOST_TEST(second_allocator().grants.max_remaining(account) == limit - 5000);
 }
 
-BOOST_AUTO_TEST_CASE(home_without_its_log_sends_the_asker_on) {
-    home().log_answers = false;
-    BOOST_TEST((reserve(asker(), 5000) == reserve_outcome::reserved));
+BOOST_AUTO_TEST_CASE(allocator_without_its_log_redirects_requester) {
+    allocator().log_reachable = false;
+    BOOST_TEST((reserve(requester(), 5000) == reserve_outcome::reserved));
 }
 
-BOOST_AUTO_TEST_CASE(tokens_that_come_too_late_go_back) {
-    entry_process& entry = asker();
+BOOST_AUTO_TEST_CASE(tokens_of_late_reply_are_returned) {
+    gateway_process& gateway = requester();
     const tokens before = spendable();
-    entry_process& late = home();
-    late.listens = false;
-    BOOST_REQUIRE((reserve(entry, 5000) == reserve_outcome::reserved));
-    // The home hears the ask now and gives; nobody at the asker wants it any more.
-    late.listens = true;
-    wire::Envelope ask;
-    ask.mutable_token_ask()->set_ask(77);
-    ask.mutable_token_ask()->set_account(account);
-    ask.mutable_token_ask()->set_amount(5000);
-    entry.bus->send(late.bus->endpoint(), ask);
-    BOOST_TEST(run_until([&] { return entry.grants.free_tokens(account) == 5000; }));
-    entry.exchange.return_free(monotonic_now());
+    gateway_process& late = allocator();
+    late.accepts_messages = false;
+    BOOST_REQUIRE((reserve(gateway, 5000) == reserve_outcome::reserved));
+    // The allocator receives the query now and sends tokens that no request at the gateway wants
+    // any more.
+    late.accepts_messages = true;
+    wire::Envelope query;
+    query.mutable_token_ask()->set_ask(77);
+    query.mutable_token_ask()->set_account(account);
+    query.mutable_token_ask()->set_amount(5000);
+    gateway.bus->send(late.bus->endpoint(), query);
+    BOOST_TEST(run_until([&] { return gateway.grants.free_tokens(account) == 5000; }));
+    gateway.exchange.return_free_tokens(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == before - 5000; }));
 }
 
-BOOST_AUTO_TEST_CASE(request_that_left_while_it_waited_keeps_no_tokens) {
-    entry_process& entry = asker();
+BOOST_AUTO_TEST_CASE(request_cancelled_while_waiting_keeps_no_tokens) {
+    gateway_process& gateway = requester();
     const tokens before = spendable();
-    auto found = entry.exchange.reserve(monotonic_now(), account, 5000,
-                                        [](reserve_outcome) { BOOST_ERROR("told"); });
-    BOOST_REQUIRE(found.waiting);
-    found.waiting.reset();
+    auto found = gateway.exchange.reserve(monotonic_now(), account, 5000,
+                                          [](reserve_outcome) { BOOST_ERROR("told"); });
+    BOOST_REQUIRE(found.waiting_handle);
+    found.waiting_handle.reset();
     run_for(milliseconds(100));
-    BOOST_TEST(entry.grants.reserved(account) == 0);
-    entry.exchange.return_free(monotonic_now());
+    BOOST_TEST(gateway.grants.reserved(account) == 0);
+    gateway.exchange.return_free_tokens(monotonic_now());
     BOOST_TEST(run_until([&] { return spendable() == before; }));
 }
 
-BOOST_AUTO_TEST_CASE(returned_amount_below_zero_is_not_taken) {
+BOOST_AUTO_TEST_CASE(negative_returned_amount_is_ignored) {
     wire::Envelope message;
     wire::TokenAmount& part = *message.mutable_token_return()->add_amounts();
     part.set_account(account);
     part.set_amount(-5000);
-    asker().exchange.on_message({}, message);
-    BOOST_TEST(asker().grants.free_tokens(account) == 0);
+    requester().exchange.on_message({}, message);
+    BOOST_TEST(requester().grants.free_tokens(account) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(requests_everywhere_never_get_more_than_the_limit) {
+BOOST_AUTO_TEST_CASE(requests_at_all_gateways_never_exceed_the_limit) {
     tokens reserved = 0;
     std::vector<std::shared_ptr<token_exchange::handle>> handles;
     std::size_t open = 0;
     for (int round = 0; round < 20; ++round) {
-        for (const auto& each : entries) {
+        for (const auto& each : gateways) {
             ++open;
             const auto found = each->exchange.reserve(
                 monotonic_now(), account, 7000, [&reserved, &open](reserve_outcome result) {
                     --open;
                     reserved += result == reserve_outcome::reserved ? 7000 : 0;
                 });
-            if (found.waiting) {
-                handles.push_back(found.waiting);
+            if (found.waiting_handle) {
+                handles.push_back(found.waiting_handle);
             } else {
                 --open;
-                reserved += found.now == reserve_outcome::reserved ? 7000 : 0;
+                reserved += found.outcome == reserve_outcome::reserved ? 7000 : 0;
             }
         }
     }
@@ -415,42 +419,42 @@
     BOOST_TEST(reserved >= limit - 14'000);
 }
 
-BOOST_AUTO_TEST_CASE(way_to_a_home_of_another_region_is_made_once_and_moves_no_tokens) {
-    entry_process far(loop, table, 4, "south");
-    entry_process near(loop, table, 5, "north");
-    entry_process asker(loop, table, 6, "north");
-    far.listens = near.listens = false;
-    for (const entry_process* member : {&far, &near, &asker}) {
-        asker.homes.apply(member->self());
+BOOST_AUTO_TEST_CASE(connection_to_remote_allocator_is_opened_once_and_moves_no_tokens) {
+    gateway_process remote(loop, table, 4, "south");
+    gateway_process local(loop, table, 5, "north");
+    gateway_process requester(loop, table, 6, "north");
+    remote.accepts_messages = local.accepts_messages = false;
+    for (const gateway_process* member : {&remote, &local, &requester}) {
+        requester.allocators.apply(member->self());
     }
-    asker.exchange.open_ways();
-    asker.exchange.open_ways();
-    BOOST_REQUIRE(run_until([&] { return !far.unheard.empty(); }));
+    requester.exchange.connect_to_allocators();
+    requester.exchange.connect_to_allocators();
+    BOOST_REQUIRE(run_until([&] { return !remote.unhandled.empty(); }));
     run_for(milliseconds(30));
-    BOOST_TEST(far.unheard.size() == 1U);
-    BOOST_TEST(far.unheard.front().token_return().amounts_size() == 0);
-    BOOST_TEST(near.unheard.empty());
-    far.exchange.on_message({}, far.unheard.front());
-    BOOST_TEST(far.grants.free_tokens(account) == 0);
+    BOOST_TEST(remote.unhandled.size() == 1U);
+    BOOST_TEST(remote.unhandled.front().token_return().amounts_size() == 0);
+    BOOST_TEST(local.unhandled.empty());
+    remote.exchange.on_message({}, remote.unhandled.front());
+    BOOST_TEST(remote.grants.free_tokens(account) == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(far_home_is_waited_for_by_its_distance, loop_runner) {
+BOOST_FIXTURE_TEST_CASE(timeout_of_remote_allocator_includes_its_round_trip, loop_runner) {
     grant_table table;
-    entry_process far(loop, table, 1, "south");
-    entry_process asker(loop, table, 2, "north");
-    for (entry_process* entry : {&far, &asker}) {
-        entry->homes.apply(far.self());
+    gateway_process remote(loop, table, 1, "south");
+    gateway_process requester(loop, table, 2, "north");
+    for (gateway_process* gateway : {&remote, &requester}) {
+        gateway->allocators.apply(remote.self());
     }
-    far.append(table);
-    // A home of the own region is given 100 ms.
-    far.listens = false;
+    remote.append(table);
+    // An allocator in the same region has 100 ms to reply.
+    remote.accepts_messages = false;
     std::optional<reserve_outcome> outcome;
-    const auto wait = asker.exchange.reserve(monotonic_now(), account, 400,
-                                             [&](reserve_outcome told) { outcome = told; });
-    BOOST_REQUIRE(run_until([&] { return !far.unheard.empty(); }));
+    const auto wait = requester.exchange.reserve(
+        monotonic_now(), account, 400, [&](reserve_outcome received) { outcome = received; });
+    BOOST_REQUIRE(run_until([&] { return !remote.unhandled.empty(); }));
     run_for(milliseconds(200));
-    BOOST_TEST(asker.silent.empty());
-    BOOST_TEST(run_until([&] { return asker.silent.size() == 1U; }));
+    BOOST_TEST(requester.unresponsive.empty());
+    BOOST_TEST(run_until([&] { return requester.unresponsive.size() == 1U; }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
