--- a/src/roles/entry/api_error.hpp
+++ b/src/roles/entry/api_error.hpp
@@ -8,24 +8,25 @@
 
 namespace wrenswitch {
 
-/// Whether a request that failed ran.
-enum class request_fate { not_run, unknown };
+/// Whether a failed request may have been executed by its target.
+enum class execution_status { not_run, unknown };
 
-/// An error as a caller gets it, in the shape that client libraries of the completions API expect.
+/// An error response to a caller, in the format that client libraries of the completions API
+/// expect.
 struct api_error {
     unsigned status = 500;
-    /// A machine-readable reason.
+    /// Machine-readable error code.
     std::string code;
     std::string message;
-    request_fate fate = request_fate::not_run;
-    /// When to come back; zero if coming back is of no use.
+    execution_status execution = execution_status::not_run;
+    /// Value of the Retry-After header; zero if a retry cannot succeed.
     microseconds retry_after{0};
 
-    /// The body of the reply.
+    /// Returns the response body.
     std::string to_json() const;
 
-    /// Sends it.
-    void send(http_exchange& exchange, std::string_view request_name) const;
+    /// Sends the error as the response to `exchange`, with `request_id` in X-Request-Id.
+    void send(http_exchange& exchange, std::string_view request_id) const;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/entry/caller_reply.hpp
+++ b/src/roles/entry/caller_reply.hpp
@@ -10,34 +10,36 @@
 
 namespace wrenswitch {
 
-/// What a caller gets for one request: pieces as they come if it asked for a stream, else the whole
-/// answer at its end, or an error.
-class caller_reply {
+/// Writes the response to one caller request: forwards each chunk at once if the caller asked for a
+/// stream, otherwise sends the buffered body when it is complete. Also sends errors.
+class response_writer {
 public:
-    /// `name` is the request's, `arrived` when it came. The metrics must outlive this.
-    caller_reply(http_exchange_pointer exchange, std::string name, bool streamed, instant arrived,
-                 metrics& counters);
+    /// `arrived` is when the request was received; latencies are measured from it. `counters` must
+    /// outlive this object.
+    response_writer(http_exchange_pointer exchange, std::string request_id, bool streamed,
+                    instant arrived, metrics& counters);
 
-    /// True once the caller has got something, so that another run can't answer it.
+    /// True once part of the response was sent, so that the request can no longer be retried.
     bool started() const { return started_; }
 
-    /// Drops what came of an answer that the caller has got nothing of.
-    void restart() { body_.clear(); }
+    /// Discards the buffered body of an attempt whose response was not sent.
+    void discard_unsent() { body_.clear(); }
 
-    /// A piece of the answer; its type may come with the first only.
+    /// Adds a chunk of the response. A status of zero or an empty content type keeps the value of
+    /// an earlier chunk.
     void add(unsigned status, std::string_view content_type, std::string_view data);
 
-    /// The answer is whole.
+    /// Completes the response.
     void finish();
 
-    /// There is no answer, or no more of it.
+    /// Sends an error response, or an error event if the response has already started.
     void fail(const api_error& error);
 
 private:
     void start();
 
     http_exchange_pointer exchange_;
-    std::string name_;
+    std::string request_id_;
     bool streamed_;
     instant arrived_;
     metrics& counters_;
--- a/src/roles/entry/caller_request.hpp
+++ b/src/roles/entry/caller_request.hpp
@@ -13,51 +13,54 @@
 
 namespace wrenswitch {
 
-/// A caller's request after all checks, with everything that its way through the fleet needs.
+/// A validated caller request with everything needed to reserve tokens for it and dispatch it.
 struct caller_request {
     std::uint64_t number = 0;
     std::string client_account;
     std::string budget;
     std::string service;
     std::string method;
-    /// The path at the target.
+    /// The path to request from the target.
     std::string path;
     std::string content_type;
     std::string body;
     digest key;
     digest body_digest;
-    /// True if the caller chose the key.
-    bool keyed = false;
+    /// True if the caller sent an Idempotency-Key; otherwise `key` is random.
+    bool caller_keyed = false;
     bool model = true;
     bool streamed = false;
     bool repeatable = true;
     std::uint32_t priority = 0;
-    /// The most that it can cost.
+    /// Upper bound of the cost.
     tokens bound = 0;
     tokens fixed_cost = 0;
     microseconds deadline{0};
-    /// A hash of the prompt's beginning, for the prefix cache.
+    /// Hash of the start of the prompt, used to route by prefix cache.
     std::uint64_t prefix = 0;
-    /// The first chunk that the caller has not seen yet.
+    /// Index of the first response chunk to send; above zero if the caller resumes with
+    /// Last-Event-ID.
     std::uint32_t from_chunk = 0;
 };
 
-/// What reading a request needs besides the request itself.
+/// Inputs for parsing a request besides the HTTP exchange.
 struct caller_request_context {
     const configuration& config;
     random_source& random;
     microseconds default_deadline;
 };
 
-/// A checked request, or the error that the caller gets.
+/// A validated request, or the error to send to the caller.
 using caller_request_result =
     outcome::basic_result<caller_request, api_error, outcome::policy::all_narrow>;
 
-/// Reads POST /v1/chat/completions, /v1/completions or /v1/services/SERVICE/PATH.
-caller_request_result read_caller_request(const http_exchange& exchange,
-                                          const caller_request_context& context);
+/// Authenticates, parses and validates POST /v1/chat/completions, POST /v1/completions or a request
+/// to /v1/services/SERVICE/PATH.
+caller_request_result parse_caller_request(const http_exchange& exchange,
+                                           const caller_request_context& context);
 
-/// The client account whose key a request carries, or the error that the caller gets.
+/// Returns the client account that the bearer key of a request belongs to, or null if the key is
+/// missing or unknown.
 const client_account* authenticate(const http_exchange& exchange, const configuration& config);
 
 }  // namespace wrenswitch
--- a/src/roles/entry/entry.cpp
+++ b/src/roles/entry/entry.cpp
@@ -13,21 +13,22 @@
 namespace {
 
 constexpr microseconds tick_period = milliseconds(500);
-constexpr microseconds pump_period = milliseconds(20);
+constexpr microseconds append_period = milliseconds(20);
 
-/// A guard that has work of this entry's is asked after so much silence.
+/// A guard that handles requests of this entry is pinged after this much inactivity.
 constexpr microseconds ping_after = seconds(1);
 
-/// A watched process is asked so often before it is fenced.
-constexpr int asks_before_fence = 2;
+/// A monitored process is pinged on each tick once it has been inactive for
+/// `fence_after / (pings_before_fence + 1)`.
+constexpr int pings_before_fence = 2;
 
-/// A guard that is silent for so long while it has work of this entry's is given up.
+/// A guard that handles requests of this entry is considered lost after this much inactivity.
 constexpr microseconds guard_lost_after = seconds(4);
 
-/// The time over which an entry's retries are bounded, and how many beyond their share may be made
-/// in it, so that an entry with few callers can retry at all.
+/// The window of the retry budget, and the number of retries that it allows beyond `retry_share`,
+/// so that an entry with little traffic can retry at all.
 constexpr microseconds retry_window = seconds(10);
-constexpr double spare_retries = 20.0;
+constexpr double min_retries = 20.0;
 constexpr unsigned status_unavailable = 503;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_method_not_allowed = 405;
@@ -38,7 +39,7 @@
     : loop_(loop),
       settings_(settings),
       timeline_(settings.process.timeline_events),
-      retries_(settings.retry_share, retry_window, spare_retries) {}
+      retries_(settings.retry_share, retry_window, min_retries) {}
 
 entry::~entry() = default;
 
@@ -64,12 +65,12 @@
     picker_settings routing = settings_.routing;
     routing.subset_seed = random_.next_id<std::uint64_t>();
     picker_ = std::make_unique<target_picker>(routing, random_);
-    fleet_ = std::make_unique<fleet_view>(settings_, control_->state(), *picker_);
-    homes_ = std::make_unique<home_desk>(
-        settings_,
-        home_desk_parts{loop_, *log_, *bus_, *control_, *fleet_, random_, metrics_, timeline_});
-    operators_ = std::make_unique<operator_desk>(
-        settings_, operator_desk_parts{loop_, *control_, *fleet_, *homes_, random_});
+    cluster_ = std::make_unique<cluster_view>(settings_, control_->state(), *picker_);
+    allocators_ = std::make_unique<allocator_service>(
+        settings_, allocator_service_context{loop_, *log_, *bus_, *control_, *cluster_, random_,
+                                             metrics_, timeline_});
+    operator_api_ = std::make_unique<operator_api>(
+        settings_, operator_api_context{loop_, *control_, *cluster_, *allocators_, random_});
 
     auto callers = http_server::start(
         loop_, settings_.callers,
@@ -88,9 +89,9 @@
 
     control_->start();
     tick_ = loop_.call_every(tick_period, [this] { tick(); });
-    pump_timer_ = loop_.call_every(pump_period, [this] {
-        homes_->pump(monotonic_now());
-        send_marks();
+    append_timer_ = loop_.call_every(append_period, [this] {
+        allocators_->append_due_batches(monotonic_now());
+        submit_fence_acks();
     });
     log_event(log_level::information, "listening",
               {{"bus", bus_->endpoint()},
@@ -100,8 +101,8 @@
 }
 
 void entry::register_self() {
-    own_ = random_.next_id<incarnation_id>();
-    control_->set_writer(own_);
+    incarnation_ = random_.next_id<incarnation_id>();
+    control_->set_writer(incarnation_);
     registration self;
     self.role = member_role::entry;
     self.host = settings_.process.host;
@@ -118,15 +119,15 @@
     if (!registering_ && !active_ && !closing_) {
         register_self();
     }
-    if (std::exchange(fleet_changed_, false)) {
-        fleet_->rebuild();
+    if (std::exchange(cluster_changed_, false)) {
+        cluster_->rebuild();
     }
 }
 
 void entry::on_control_restored() {
-    fleet_changed_ = true;
-    if (active_ && !control_->state().is_active(own_)) {
-        on_own_fence();
+    cluster_changed_ = true;
+    if (active_ && !control_->state().is_active(incarnation_)) {
+        on_self_fenced();
     }
 }
 
@@ -134,17 +135,17 @@
     if (!effect.applied) {
         return;
     }
-    fleet_changed_ = fleet_changed_ || effect.membership_changed || effect.was_configuration;
-    const bool own_registration = registering_ && record.writer == own_ &&
+    cluster_changed_ = cluster_changed_ || effect.membership_changed || effect.was_configuration;
+    const bool own_registration = registering_ && record.writer == incarnation_ &&
                                   std::holds_alternative<register_record>(record.kind);
     if (own_registration) {
         registering_ = false;
         active_ = true;
-        fleet_->set_own(own_);
-        fleet_->rebuild();
-        homes_->restart(own_);
+        cluster_->set_incarnation(incarnation_);
+        cluster_->rebuild();
+        allocators_->restart(incarnation_);
         log_event(log_level::information, "entry_active",
-                  {{"incarnation", std::to_string(raw(own_))}});
+                  {{"incarnation", std::to_string(raw(incarnation_))}});
     }
     if (effect.was_configuration) {
         timeline_.add(timeline_kind::configuration_applied, "", {}, {},
@@ -154,16 +155,18 @@
     if (const auto* fence = std::get_if<fence_record>(&record.kind)) {
         timeline_.add(timeline_kind::fence_applied, "", {}, {},
                       std::to_string(raw(fence->incarnation)));
-        homes_->on_fence(fence->incarnation);
-        if (fence->incarnation == own_ && active_) {
-            on_own_fence();
+        allocators_->on_fence(fence->incarnation);
+        if (fence->incarnation == incarnation_ && active_) {
+            on_self_fenced();
         }
     }
 }
 
-/// Being fenced is no failure: what this entry held is being reclaimed, and it begins anew.
-void entry::on_own_fence() {
-    log_event(log_level::warning, "entry_fenced", {{"incarnation", std::to_string(raw(own_))}});
+/// Being fenced is not an error: the grants of the old incarnation are reclaimed, and this process
+/// registers again under a new one.
+void entry::on_self_fenced() {
+    log_event(log_level::warning, "entry_fenced",
+              {{"incarnation", std::to_string(raw(incarnation_))}});
     metrics_.counter("own_fences_total") += 1;
     active_ = false;
     closing_ = false;
@@ -171,84 +174,88 @@
 }
 
 bool entry::ready() const {
-    return active_ && drained_ == nullptr && control_->live() && homes_->ready();
+    return active_ && on_drained_ == nullptr && control_->live() && allocators_->ready();
 }
 
-request_flow* entry::flow(std::uint64_t request) {
-    const auto found = flows_.find(request);
-    return found == flows_.end() ? nullptr : found->second.get();
+request_handler* entry::find_handler(std::uint64_t request) {
+    const auto found = handlers_.find(request);
+    return found == handlers_.end() ? nullptr : found->second.get();
 }
 
 void entry::on_message(const message_origin& origin, const wire::Envelope& message) {
     const incarnation_id sender{message.sender()};
-    fleet_->heard(monotonic_now(), sender);
-    const auto with_flow = [this](std::uint64_t request, const auto& action) {
-        const auto found = flows_.find(request);
-        if (found != flows_.end()) {
-            const std::shared_ptr<request_flow> kept = found->second;
-            action(*kept);
+    cluster_->record_activity(monotonic_now(), sender);
+    const auto with_handler = [this](std::uint64_t request, const auto& action) {
+        const auto found = handlers_.find(request);
+        if (found != handlers_.end()) {
+            const std::shared_ptr<request_handler> keep_alive = found->second;
+            action(*keep_alive);
         }
     };
     switch (message.body_case()) {
         case wire::Envelope::kReserveRequest:
-            homes_->on_reserve(origin, message.reserve_request());
+            allocators_->on_reserve(origin, message.reserve_request());
             return;
         case wire::Envelope::kReserveReply: {
             const wire::ReserveReply& reply = message.reserve_reply();
-            if (flow(reply.request()) == nullptr && reply.outcome() == wire::RESERVE_GRANTED) {
+            if (find_handler(reply.request()) == nullptr &&
+                reply.outcome() == wire::RESERVE_GRANTED) {
                 wire::Envelope release;
-                release.set_sender(raw(own_));
+                release.set_sender(raw(incarnation_));
                 release.mutable_release_ticket()->set_ticket(reply.ticket().ticket());
                 bus_->send(reply.ticket().holder_endpoint(), release);
                 return;
             }
-            with_flow(reply.request(), [&](request_flow& item) { item.on_reserve_reply(reply); });
+            with_handler(reply.request(),
+                         [&](request_handler& item) { item.on_reserve_reply(reply); });
             return;
         }
         case wire::Envelope::kStarted:
-            homes_->started(ticket_id{message.started().ticket()},
-                            incarnation_id{message.started().guard()},
-                            message.started().guard_endpoint());
+            allocators_->ticket_started(ticket_id{message.started().ticket()},
+                                        incarnation_id{message.started().guard()},
+                                        message.started().guard_endpoint());
             return;
         case wire::Envelope::kReleaseTicket:
-            homes_->release(ticket_id{message.release_ticket().ticket()});
+            allocators_->release_ticket(ticket_id{message.release_ticket().ticket()});
             return;
         case wire::Envelope::kAccepted:
-            with_flow(message.accepted().request(),
-                      [&](request_flow& item) { item.on_accepted(sender, message.accepted()); });
+            with_handler(message.accepted().request(), [&](request_handler& item) {
+                item.on_accepted(sender, message.accepted());
+            });
             return;
         case wire::Envelope::kRefused:
-            with_flow(message.refused().request(),
-                      [&](request_flow& item) { item.on_refused(sender, message.refused()); });
+            with_handler(message.refused().request(), [&](request_handler& item) {
+                item.on_refused(sender, message.refused());
+            });
             return;
         case wire::Envelope::kAnswerChunk:
-            with_flow(message.answer_chunk().request(),
-                      [&](request_flow& item) { item.on_chunk(message.answer_chunk()); });
+            with_handler(message.answer_chunk().request(),
+                         [&](request_handler& item) { item.on_chunk(message.answer_chunk()); });
             return;
         case wire::Envelope::kAnswerEnd:
-            with_flow(message.answer_end().request(),
-                      [&](request_flow& item) { item.on_end(sender, message.answer_end()); });
+            with_handler(message.answer_end().request(),
+                         [&](request_handler& item) { item.on_end(sender, message.answer_end()); });
             return;
         case wire::Envelope::kChargeReport:
-            homes_->on_charges(origin, message.charge_report());
+            allocators_->on_charges(origin, message.charge_report());
             return;
         case wire::Envelope::kVoidReply: {
-            homes_->on_void_reply(message.void_reply());
-            const auto flows = flows_;
-            for (const auto& [number, item] : flows) {
+            allocators_->on_void_reply(message.void_reply());
+            const auto handlers = handlers_;
+            for (const auto& [number, item] : handlers) {
                 item->on_void_reply(message.void_reply());
             }
             return;
         }
         case wire::Envelope::kMarkReport:
-            collect_mark(message.mark_report());
+            collect_fence_ack(message.mark_report());
             return;
         case wire::Envelope::kPing: {
-            wire::Envelope answer;
-            answer.set_sender(raw(own_));
-            answer.mutable_pong()->set_sender(raw(own_));
-            answer.mutable_pong()->set_control_offset(raw(control_->position()));
-            bus_->answer(origin, answer);
+            wire::Envelope pong;
+            pong.set_sender(raw(incarnation_));
+            pong.mutable_pong()->set_sender(raw(incarnation_));
+            pong.mutable_pong()->set_control_offset(raw(control_->position()));
+            bus_->answer(origin, pong);
             return;
         }
         case wire::Envelope::kPong:
@@ -267,9 +274,9 @@
 
 void entry::handle_caller(const http_exchange_pointer& exchange) {
     const std::string_view path = exchange->path();
-    const bool work = path == "/v1/chat/completions" || path == "/v1/completions" ||
-                      path.substr(0, 13) == "/v1/services/";
-    if (work) {
+    const bool is_forwarded = path == "/v1/chat/completions" || path == "/v1/completions" ||
+                              path.substr(0, 13) == "/v1/services/";
+    if (is_forwarded) {
         start_request(exchange);
     } else if (path == "/v1/models") {
         list_models(exchange);
@@ -278,7 +285,7 @@
                         ready() ? R"({"ready":true})" : R"({"ready":false})");
     } else {
         const api_error error{status_not_found, "unknown_path", "There is nothing at this path.",
-                              request_fate::not_run, microseconds(0)};
+                              execution_status::not_run, microseconds(0)};
         error.send(*exchange, "");
     }
 }
@@ -287,40 +294,41 @@
     const bool completion = exchange->path().substr(0, 13) != "/v1/services/";
     if (completion && exchange->method() != "POST") {
         const api_error error{status_method_not_allowed, "bad_method", "Only POST is allowed here.",
-                              request_fate::not_run, microseconds(0)};
+                              execution_status::not_run, microseconds(0)};
         error.send(*exchange, "");
         return;
     }
-    if (!active_ || drained_ != nullptr) {
+    if (!active_ || on_drained_ != nullptr) {
         const api_error error{status_unavailable, "not_ready",
                               "This entry takes no requests now; another one will.",
-                              request_fate::not_run, seconds(1)};
+                              execution_status::not_run, seconds(1)};
         error.send(*exchange, "");
         return;
     }
-    caller_request_result request = read_caller_request(
+    caller_request_result request = parse_caller_request(
         *exchange, {control_->state().config(), random_, settings_.default_deadline});
     if (!request) {
         metrics_.counter(labelled("requests_refused_total", {{"code", request.error().code}})) += 1;
         request.error().send(*exchange, "");
         return;
     }
-    const request_flow_parts parts{loop_,   *bus_,    *fleet_,   *homes_,   *picker_, retries_,
-                                   random_, metrics_, timeline_, settings_, own_};
+    const request_handler_context context{loop_,     *bus_,     *cluster_,   *allocators_,
+                                          *picker_,  retries_,  random_,     metrics_,
+                                          timeline_, settings_, incarnation_};
     const std::uint64_t number = request.value().number;
-    auto made = std::make_shared<request_flow>(parts, std::move(request.value()), exchange,
-                                               [this](std::uint64_t ended) {
-                                                   flows_.erase(ended);
-                                                   finish_drain_if_idle();
-                                               });
-    flows_[number] = made;
-    made->start();
+    auto handler = std::make_shared<request_handler>(context, std::move(request.value()), exchange,
+                                                     [this](std::uint64_t ended) {
+                                                         handlers_.erase(ended);
+                                                         finish_drain_if_idle();
+                                                     });
+    handlers_[number] = handler;
+    handler->start();
 }
 
 void entry::list_models(const http_exchange_pointer& exchange) {
     if (authenticate(*exchange, control_->state().config()) == nullptr) {
         const api_error error{401, "bad_key", "The key is missing or not known.",
-                              request_fate::not_run, microseconds(0)};
+                              execution_status::not_run, microseconds(0)};
         error.send(*exchange, "");
         return;
     }
@@ -337,7 +345,7 @@
 void entry::handle_operator(const http_exchange_pointer& exchange) {
     const http_header json_type{"Content-Type", "application/json"};
     if (exchange->path() == "/v1/operator/commands") {
-        operators_->handle(exchange);
+        operator_api_->handle(exchange);
     } else if (exchange->path() == "/metrics") {
         update_gauges(monotonic_now());
         exchange->reply(200, {{"Content-Type", "text/plain; version=0.0.4"}},
@@ -357,114 +365,114 @@
 void entry::tick() {
     const instant now = monotonic_now();
     control_->tick(now);
-    homes_->tick(now);
+    allocators_->tick(now);
     if (active_) {
-        watch(now);
-        watch_guards_in_use(now);
-        mark_guard_fences();
+        check_watched_members(now);
+        check_guards_in_use(now);
+        acknowledge_guard_fences();
     }
     finish_drain_if_idle();
 }
 
 void entry::send_ping(incarnation_id to) {
     wire::Envelope message;
-    message.set_sender(raw(own_));
-    message.mutable_ping()->set_sender(raw(own_));
+    message.set_sender(raw(incarnation_));
+    message.mutable_ping()->set_sender(raw(incarnation_));
     message.mutable_ping()->set_control_offset(raw(control_->position()));
-    bus_->send(fleet_->endpoint_of(to), message);
+    bus_->send(cluster_->endpoint_of(to), message);
 }
 
-void entry::watch(instant now) {
-    for (const incarnation_id id : fleet_->watched()) {
-        const microseconds silence = now - fleet_->last_heard(id);
-        if (silence < settings_.fence_after / (asks_before_fence + 1)) {
+void entry::check_watched_members(instant now) {
+    for (const incarnation_id id : cluster_->watched()) {
+        const microseconds inactivity = now - cluster_->last_activity(id);
+        if (inactivity < settings_.fence_after / (pings_before_fence + 1)) {
             continue;
         }
         send_ping(id);
-        const bool silent_for_too_long = silence >= settings_.fence_after &&
-                                         control_->log_healthy(now) &&
-                                         control_->state().is_active(id);
-        if (silent_for_too_long && fences_sent_.insert(id).second) {
-            log_event(
-                log_level::warning, "silent_process_fenced",
-                {{"incarnation", std::to_string(raw(id))}, {"endpoint", fleet_->endpoint_of(id)}});
+        const bool timed_out = inactivity >= settings_.fence_after && control_->log_healthy(now) &&
+                               control_->state().is_active(id);
+        if (timed_out && fences_sent_.insert(id).second) {
+            log_event(log_level::warning, "silent_process_fenced",
+                      {{"incarnation", std::to_string(raw(id))},
+                       {"endpoint", cluster_->endpoint_of(id)}});
             metrics_.counter("fences_sent_total") += 1;
             control_->submit(fence_record{id});
         }
     }
 }
 
-void entry::watch_guards_in_use(instant now) {
+void entry::check_guards_in_use(instant now) {
     std::set<incarnation_id> in_use;
-    for (const auto& [number, item] : flows_) {
-        const bool at_guard =
-            item->phase() == flow_phase::accepted || item->phase() == flow_phase::joining;
+    for (const auto& [number, item] : handlers_) {
+        const bool at_guard = item->phase() == request_handler_phase::accepted ||
+                              item->phase() == request_handler_phase::joining;
         if (at_guard) {
             in_use.insert(item->guard());
         }
     }
     for (const incarnation_id guard : in_use) {
-        const microseconds silence = now - fleet_->last_heard(guard);
-        if (silence >= ping_after) {
+        const microseconds inactivity = now - cluster_->last_activity(guard);
+        if (inactivity >= ping_after) {
             send_ping(guard);
         }
-        if (silence < guard_lost_after) {
+        if (inactivity < guard_lost_after) {
             continue;
         }
         metrics_.counter("guards_lost_total") += 1;
-        const auto flows = flows_;
-        for (const auto& [number, item] : flows) {
+        const auto handlers = handlers_;
+        for (const auto& [number, item] : handlers) {
             item->on_guard_lost(guard);
         }
     }
 }
 
-void entry::mark_guard_fences() {
-    const member* self = control_->state().find(own_);
+void entry::acknowledge_guard_fences() {
+    const member* self = control_->state().find(incarnation_);
     if (self == nullptr || !control_->idle()) {
         return;
     }
-    fence_acks_record marks;
+    fence_acks_record acks;
     for (const auto& [fenced, fence] : control_->state().fences()) {
         const member* known = control_->state().find(fenced);
-        const bool wanted = known != nullptr && known->info.role == member_role::guard &&
-                            fence.offset > self->registered_at &&
-                            control_->state().wants_ack(fenced, own_) &&
-                            homes_->is_guard_settled(fenced);
-        if (wanted) {
-            marks.acks.push_back({fenced, own_, {}});
-            homes_->forget_guard(fenced);
+        const bool ack_due = known != nullptr && known->info.role == member_role::guard &&
+                             fence.offset > self->registered_at &&
+                             control_->state().wants_ack(fenced, incarnation_) &&
+                             allocators_->is_guard_settled(fenced);
+        if (ack_due) {
+            acks.acks.push_back({fenced, incarnation_, {}});
+            allocators_->forget_guard(fenced);
         }
     }
-    if (!marks.acks.empty()) {
-        control_->submit(std::move(marks));
+    if (!acks.acks.empty()) {
+        control_->submit(std::move(acks));
     }
 }
 
-void entry::collect_mark(const wire::MarkReport& report) {
-    fence_ack mark{incarnation_id{report.fenced()}, incarnation_id{report.marker()}, {}};
-    const bool wanted = control_->state().wants_ack(mark.fenced, mark.sender);
-    const bool queued = std::any_of(marks_.begin(), marks_.end(), [&mark](const fence_ack& item) {
-        return item.fenced == mark.fenced && item.sender == mark.sender;
-    });
-    if (!wanted || queued) {
+void entry::collect_fence_ack(const wire::MarkReport& report) {
+    fence_ack ack{incarnation_id{report.fenced()}, incarnation_id{report.marker()}, {}};
+    const bool expected = control_->state().wants_ack(ack.fenced, ack.sender);
+    const bool already_queued = std::any_of(
+        pending_fence_acks_.begin(), pending_fence_acks_.end(), [&ack](const fence_ack& item) {
+            return item.fenced == ack.fenced && item.sender == ack.sender;
+        });
+    if (!expected || already_queued) {
         return;
     }
     for (const wire::Charge& item : report.charges()) {
-        mark.charges.push_back(decode_charge(item, incarnation_id{}));
+        ack.charges.push_back(decode_charge(item, incarnation_id{}));
     }
-    marks_.push_back(std::move(mark));
+    pending_fence_acks_.push_back(std::move(ack));
 }
 
-void entry::send_marks() {
-    if (marks_.empty() || !active_ || !control_->idle()) {
+void entry::submit_fence_acks() {
+    if (pending_fence_acks_.empty() || !active_ || !control_->idle()) {
         return;
     }
-    control_->submit(fence_acks_record{std::exchange(marks_, {})});
+    control_->submit(fence_acks_record{std::exchange(pending_fence_acks_, {})});
 }
 
 void entry::update_gauges(instant now) {
-    metrics_.gauge("requests_under_way") = static_cast<double>(flows_.size());
+    metrics_.gauge("requests_under_way") = static_cast<double>(handlers_.size());
     metrics_.gauge("control_offset") = static_cast<double>(raw(control_->position()));
     metrics_.gauge("configuration_version") =
         static_cast<double>(control_->state().config().version());
@@ -474,45 +482,45 @@
 }
 
 void entry::drain(std::function<void()> done) {
-    drained_ = std::move(done);
-    drain_until_ = monotonic_now() + settings_.process.longest_drain;
+    on_drained_ = std::move(done);
+    drain_deadline_ = monotonic_now() + settings_.process.longest_drain;
     timeline_.add(timeline_kind::drain_started, "", {}, {}, "");
     log_event(log_level::information, "drain_started",
-              {{"requests", std::to_string(flows_.size())}});
+              {{"requests", std::to_string(handlers_.size())}});
     caller_server_->stop_listening();
-    homes_->start_drain();
+    allocators_->start_drain();
     finish_drain_if_idle();
 }
 
 void entry::finish_drain_if_idle() {
-    if (drained_ == nullptr) {
+    if (on_drained_ == nullptr) {
         return;
     }
-    const bool empty = flows_.empty() && homes_->idle();
-    if (empty && active_ && !closing_) {
+    const bool idle = handlers_.empty() && allocators_->idle();
+    if (idle && active_ && !closing_) {
         closing_ = true;
         control_->submit(close_record{});
         return;
     }
     const bool closed = closing_ && control_->idle();
-    if (!closed && monotonic_now() < drain_until_ && active_) {
+    if (!closed && monotonic_now() < drain_deadline_ && active_) {
         return;
     }
     log_event(log_level::information, "drain_ended",
-              {{"closed", closed ? "yes" : "no"}, {"requests", std::to_string(flows_.size())}});
-    const auto ended = std::exchange(drained_, nullptr);
-    ended();
+              {{"closed", closed ? "yes" : "no"}, {"requests", std::to_string(handlers_.size())}});
+    const auto done = std::exchange(on_drained_, nullptr);
+    done();
 }
 
 int run_entry(const entry_settings& settings) {
     event_loop loop;
-    entry process(loop, settings);
-    const result<void> started = process.start();
+    entry entry_process(loop, settings);
+    const result<void> started = entry_process.start();
     if (!started) {
         log_event(log_level::error, "start_failed", {{"finding", started.error().message}});
         return exit_unavailable;
     }
-    loop.on_stop_signal([&loop, &process] { process.drain([&loop] { loop.stop(); }); });
+    loop.on_stop_signal([&loop, &entry_process] { entry_process.drain([&loop] { loop.stop(); }); });
     loop.run();
     return exit_done;
 }
--- a/src/roles/entry/entry.hpp
+++ b/src/roles/entry/entry.hpp
@@ -23,7 +23,8 @@
 
 namespace wrenswitch {
 
-/// The process on an entry host: callers' and operators' server, home of budgets, and router.
+/// The process on an entry host: serves callers and operators, allocates the tokens of budgets, and
+/// routes requests to the guards in front of the targets.
 class entry {
 public:
     entry(event_loop& loop, const entry_settings& settings);
@@ -31,10 +32,13 @@
     entry(const entry&) = delete;
     entry& operator=(const entry&) = delete;
 
-    /// Binds and begins to read the control stream. An error if an address is taken.
+    /// Opens the listening sockets and starts reading the control stream. Fails if an address
+    /// cannot be bound.
     result<void> start();
 
-    /// Takes no new requests; calls the hook once all have ended and all grants are back.
+    /// Stops accepting requests. Calls `done` once all requests have ended, all grants are returned
+    /// and the closing of this incarnation is recorded, or once the drain timeout has passed or
+    /// this entry was fenced.
     void drain(std::function<void()> done);
 
 private:
@@ -50,17 +54,17 @@
     void on_control_applied(const control_record& record, const control_effect& effect);
     void on_control_caught_up();
     void on_control_restored();
-    void on_own_fence();
+    void on_self_fenced();
     void tick();
-    void watch(instant now);
-    void watch_guards_in_use(instant now);
+    void check_watched_members(instant now);
+    void check_guards_in_use(instant now);
     void send_ping(incarnation_id to);
-    void mark_guard_fences();
-    void collect_mark(const wire::MarkReport& report);
-    void send_marks();
+    void acknowledge_guard_fences();
+    void collect_fence_ack(const wire::MarkReport& report);
+    void submit_fence_acks();
     void update_gauges(instant now);
     void finish_drain_if_idle();
-    request_flow* flow(std::uint64_t request);
+    request_handler* find_handler(std::uint64_t request);
 
     event_loop& loop_;
     const entry_settings& settings_;
@@ -72,25 +76,25 @@
     std::unique_ptr<message_bus> bus_;
     std::unique_ptr<control_replica> control_;
     std::unique_ptr<target_picker> picker_;
-    std::unique_ptr<fleet_view> fleet_;
-    std::unique_ptr<home_desk> homes_;
-    std::unique_ptr<operator_desk> operators_;
+    std::unique_ptr<cluster_view> cluster_;
+    std::unique_ptr<allocator_service> allocators_;
+    std::unique_ptr<operator_api> operator_api_;
     std::unique_ptr<http_server> caller_server_;
     std::unique_ptr<http_server> operator_server_;
-    incarnation_id own_{};
+    incarnation_id incarnation_{};
     bool registering_ = false;
     bool active_ = false;
     bool closing_ = false;
-    bool fleet_changed_ = false;
-    instant drain_until_{};
-    std::function<void()> drained_;
-    std::unordered_map<std::uint64_t, std::shared_ptr<request_flow>> flows_;
+    bool cluster_changed_ = false;
+    instant drain_deadline_{};
+    std::function<void()> on_drained_;
+    std::unordered_map<std::uint64_t, std::shared_ptr<request_handler>> handlers_;
     std::map<incarnation_id, instant> last_ping_;
-    /// Marks that came from guards and are not appended yet.
-    std::vector<fence_ack> marks_;
+    /// Fence acknowledgements received from guards and not submitted to the control stream yet.
+    std::vector<fence_ack> pending_fence_acks_;
     std::set<incarnation_id> fences_sent_;
     std::unique_ptr<timer> tick_;
-    std::unique_ptr<timer> pump_timer_;
+    std::unique_ptr<timer> append_timer_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/entry/entry_settings.cpp
+++ b/src/roles/entry/entry_settings.cpp
@@ -7,10 +7,10 @@
 namespace wrenswitch {
 namespace {
 
-constexpr std::int64_t most_port = 65'535;
-constexpr std::int64_t most_body_bytes = 1LL << 30;
+constexpr std::int64_t max_port = 65'535;
+constexpr std::int64_t body_bytes_limit = 1LL << 30;
 constexpr std::int64_t day_ms = 86'400'000;
-constexpr std::size_t sha256_letters = 64;
+constexpr std::size_t sha256_digits = 64;
 constexpr std::array<std::string_view, 2> scope_names{"region", "failure_domain"};
 constexpr std::array<std::string_view, 4> policy_names{"even_split", "demand_share",
                                                        "capped_reserve", "shared_reserve"};
@@ -27,33 +27,33 @@
     return 0;
 }
 
-/// Reads keys written as "role:sha256".
-std::vector<operator_key> read_operator_keys(settings_reader& reader, findings& problems) {
+/// Parses operator keys in the format "role:sha256".
+std::vector<operator_key> parse_operator_keys(settings_reader& reader, findings& problems) {
     constexpr std::array<std::string_view, 3> roles{"read", "change", "release"};
     std::vector<operator_key> keys;
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (const std::string& text : reader.texts_or_empty("operator_keys")) {
         const std::size_t colon = text.find(':');
         const std::string role = text.substr(0, colon);
         const std::string sha256 = colon == std::string::npos ? "" : text.substr(colon + 1);
-        bool known = false;
+        bool known_role = false;
         for (const std::string_view name : roles) {
-            known = known || name == role;
+            known_role = known_role || name == role;
         }
-        if (!known || sha256.size() != sha256_letters) {
-            problems.add("/operator_keys/" + std::to_string(place), "\"" + text + "\"",
+        if (!known_role || sha256.size() != sha256_digits) {
+            problems.add("/operator_keys/" + std::to_string(index), "\"" + text + "\"",
                          "read, change or release, a colon and the key's SHA-256 in 64 digits");
         }
         keys.push_back({static_cast<operator_role>(index_of(roles, role)), sha256});
-        ++place;
+        ++index;
     }
     return keys;
 }
 
-http_server_settings read_server(settings_reader& reader, const std::string& prefix) {
+http_server_settings parse_server_settings(settings_reader& reader, const std::string& prefix) {
     http_server_settings server;
     server.address = reader.text_or(prefix + "_address", "127.0.0.1");
-    server.port = static_cast<std::uint16_t>(reader.integer_or(prefix + "_port", 0, 0, most_port));
+    server.port = static_cast<std::uint16_t>(reader.integer_or(prefix + "_port", 0, 0, max_port));
     server.certificate_file = reader.text_or(prefix + "_certificate_file", "");
     server.private_key_file = reader.text_or(prefix + "_private_key_file", "");
     return server;
@@ -74,12 +74,12 @@
     settings_reader reader = settings_reader::parse(text, problems);
     auto settings = std::make_shared<entry_settings>();
     settings->process = read_process_settings(reader, problems);
-    settings->callers = read_server(reader, "caller");
+    settings->callers = parse_server_settings(reader, "caller");
     settings->callers.most_body_bytes = static_cast<std::size_t>(
-        reader.integer_or("most_body_bytes", 4LL << 20, 1, most_body_bytes));
-    settings->operators = read_server(reader, "operator");
-    settings->operator_keys = read_operator_keys(reader, problems);
-    settings->scope = static_cast<home_scope>(
+        reader.integer_or("most_body_bytes", 4LL << 20, 1, body_bytes_limit));
+    settings->operators = parse_server_settings(reader, "operator");
+    settings->operator_keys = parse_operator_keys(reader, problems);
+    settings->scope = static_cast<allocator_scope>(
         index_of(scope_names, optional_choice(reader, "home_scope", scope_names, "region")));
     settings->policy = optional_choice(reader, "grant_policy", policy_names, settings->policy);
     settings->grants.reserve_share =
--- a/src/roles/entry/entry_settings.hpp
+++ b/src/roles/entry/entry_settings.hpp
@@ -11,37 +11,37 @@
 
 namespace wrenswitch {
 
-/// What an operator's key allows. Each role includes those before it.
+/// Permission level of an operator key. Each role includes the roles before it.
 enum class operator_role { read, change, release };
 
-/// One operator's key, known by its SHA-256 only.
+/// An operator key, stored as its SHA-256 digest only.
 struct operator_key {
     operator_role role = operator_role::read;
     std::string sha256;
 };
 
-/// Which entries share a home for a budget.
-enum class home_scope { region, failure_domain };
+/// The set of entries that share one token allocator per budget.
+enum class allocator_scope { region, failure_domain };
 
-/// The settings of an entry.
+/// Settings of an entry process.
 struct entry_settings {
     process_settings process;
     http_server_settings callers;
     http_server_settings operators;
     std::vector<operator_key> operator_keys;
-    home_scope scope = home_scope::region;
+    allocator_scope scope = allocator_scope::region;
     std::string policy = "shared_reserve";
     grant_policy_settings grants;
     picker_settings routing;
-    /// How often settlements are appended.
+    /// Interval at which settlements are appended to the ledger.
     microseconds settle_period = seconds(1);
-    /// How long a request may wait for tokens from other homes.
+    /// Maximum time that a request waits for tokens held by other allocators.
     microseconds token_wait = milliseconds(400);
-    /// A process that is silent for so long is fenced.
+    /// A monitored process is fenced after this much inactivity.
     microseconds fence_after = seconds(5);
-    /// Used if the caller names no deadline.
+    /// Deadline of requests without X-Deadline-Ms.
     microseconds default_deadline = seconds(60);
-    /// The share of first tries that retries may add.
+    /// Maximum ratio of retries to first attempts.
     double retry_share = 0.1;
 };
 
--- a/src/roles/entry/fleet_view.hpp
+++ b/src/roles/entry/fleet_view.hpp
@@ -12,69 +12,72 @@
 
 namespace wrenswitch {
 
-/// What an entry knows of the other processes: who they are, from the control stream; and how long
-/// each has been silent, from their own words.
-class fleet_view {
+/// The view that an entry has of the other processes: membership from the control stream, and
+/// liveness from the messages that they send. Selects the token allocators of each shard and the
+/// members that this entry monitors.
+class cluster_view {
 public:
-    fleet_view(const entry_settings& settings, const control_state& control, target_picker& picker);
+    cluster_view(const entry_settings& settings, const control_state& control,
+                 target_picker& picker);
 
-    /// The incarnation of this process changed.
-    void set_own(incarnation_id own) { own_ = own; }
+    /// Sets the incarnation of this process. The caller must call rebuild() afterwards.
+    void set_incarnation(incarnation_id incarnation) { incarnation_ = incarnation; }
 
-    /// Members or drained hosts changed.
+    /// Recomputes the view after members or drained hosts have changed.
     void rebuild();
 
-    /// The homes of a shard for this entry, in order of preference. Those that are suspected to be
-    /// gone come last.
-    std::vector<incarnation_id> homes_of(shard_index shard, instant now) const;
+    /// Returns the entries that can allocate tokens of a shard for this entry, in order of
+    /// preference. Unresponsive ones come last.
+    std::vector<incarnation_id> allocators_of(shard_index shard, instant now) const;
 
-    /// True if this entry is the first home of a shard.
-    bool serves(shard_index shard) const;
+    /// True if this entry is the preferred token allocator of a shard.
+    bool is_primary_allocator(shard_index shard) const;
 
-    /// The number of homes that a budget can have.
-    unsigned home_count() const { return home_count_; }
+    /// Number of token allocators per budget: one per region or failure domain with active entries,
+    /// depending on the allocator scope.
+    unsigned allocator_count() const { return allocator_count_; }
 
-    /// All active guards.
+    /// All active guards, including those on drained hosts.
     const std::vector<incarnation_id>& guards() const { return guards_; }
 
-    /// The endpoint of a member, or an empty text.
+    /// Returns the endpoint of a member, or an empty string if the member is unknown.
     std::string endpoint_of(incarnation_id incarnation) const;
 
-    /// Something came from this member.
-    void heard(instant now, incarnation_id incarnation);
+    /// Records that a message was received from this member.
+    void record_activity(instant now, incarnation_id incarnation);
 
-    /// When the member was heard last, or when this entry first knew of it.
-    instant last_heard(incarnation_id incarnation) const;
+    /// Time of the last message from the member, or of the rebuild() that first included it.
+    instant last_activity(incarnation_id incarnation) const;
 
-    /// The member did not answer in time.
-    void suspect(instant now, incarnation_id incarnation);
+    /// Records that the member did not reply in time.
+    void mark_unresponsive(instant now, incarnation_id incarnation);
 
-    /// The members that this entry must watch: its neighbours among the entries of its home group
-    /// and the guards that fall to it.
+    /// The members that this entry monitors: its successors in the ring of entries of its allocator
+    /// group, and the guards of its region that are assigned to it.
     const std::vector<incarnation_id>& watched() const { return watched_; }
 
     const control_state& control() const { return control_; }
 
 private:
-    std::string group_of(const member& other) const;
+    std::string allocator_group(const member& other) const;
     void rebuild_targets();
     void rebuild_watched(const std::vector<const member*>& entries);
-    bool suspected(incarnation_id incarnation, instant now) const;
-    const std::vector<incarnation_id>& order_of(shard_index shard) const;
+    bool is_unresponsive(incarnation_id incarnation, instant now) const;
+    const std::vector<incarnation_id>& allocator_order(shard_index shard) const;
 
     const entry_settings& settings_;
     const control_state& control_;
     target_picker& picker_;
-    incarnation_id own_{};
-    /// The active entries of this entry's home group.
-    std::vector<incarnation_id> group_;
-    /// The order of each shard's homes, worked out once until members change.
-    mutable std::unordered_map<shard_index, std::vector<incarnation_id>> orders_;
+    incarnation_id incarnation_{};
+    /// The active entries that share a token allocator with this entry.
+    std::vector<incarnation_id> group_entries_;
+    /// Allocator preference per shard, cached until members change.
+    mutable std::unordered_map<shard_index, std::vector<incarnation_id>> allocator_orders_;
     std::vector<incarnation_id> guards_;
     std::vector<incarnation_id> watched_;
-    unsigned home_count_ = 1;
-    std::unordered_map<incarnation_id, instant> heard_;
-    std::unordered_map<incarnation_id, instant> suspected_until_;
+    unsigned allocator_count_ = 1;
+    std::unordered_map<incarnation_id, instant> last_activity_;
+    std::unordered_map<incarnation_id, instant> unresponsive_until_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/entry/home_desk.cpp
+++ b/src/roles/entry/home_desk.cpp
@@ -8,416 +8,426 @@
 namespace wrenswitch {
 namespace {
 
-/// An ask may wait this long for the ledger to be read, on top of its own wait.
-constexpr microseconds early_patience = seconds(2);
+/// Maximum time that a request waits for the ledger replica, in addition to its wait for tokens.
+constexpr microseconds deferral_timeout = seconds(2);
 
-/// How often the reclaim of a fenced holder is tried until the ledger shows it.
+/// Interval at which the reclaim from a fenced holder is retried until the ledger shows it.
 constexpr microseconds reclaim_retry = seconds(3);
 
-/// After this, a ticket of which nothing was heard is asked for at the guards.
+/// A ticket without a report for this long is queried at the guards.
 constexpr microseconds confirmation_timeout = seconds(30);
 
-/// How long a shard that this entry does not serve is read after its last use.
-constexpr microseconds unused_shard_kept = seconds(30);
+/// How long a shard for which this entry is not the primary allocator stays open after its last
+/// use.
+constexpr microseconds unused_shard_retention = seconds(30);
 
 constexpr std::uint32_t unreachable_retry_ms = 5000;
 
 reservation_reply unreachable() {
-    reservation_reply answer;
-    answer.outcome = reservation_outcome::budget_unreachable;
-    answer.retry_after = milliseconds(unreachable_retry_ms);
-    return answer;
+    reservation_reply reply;
+    reply.outcome = reservation_outcome::budget_unreachable;
+    reply.retry_after = milliseconds(unreachable_retry_ms);
+    return reply;
 }
 
-reservation_request decode_ask(const wire::ReserveRequest& in) {
-    reservation_request ask;
-    ask.budget = in.budget();
-    ask.key = digest{in.key_high(), in.key_low()};
-    ask.body = digest{in.body_high(), in.body_low()};
-    ask.bound = in.bound();
-    ask.repeatable = in.repeatable();
-    ask.keyed = in.keyed();
-    ask.max_wait = milliseconds(in.wait_ms());
-    ask.replaces = ticket_id{in.replaces_ticket()};
-    return ask;
+reservation_request decode_reservation_request(const wire::ReserveRequest& in) {
+    reservation_request request;
+    request.budget = in.budget();
+    request.key = digest{in.key_high(), in.key_low()};
+    request.body = digest{in.body_high(), in.body_low()};
+    request.bound = in.bound();
+    request.repeatable = in.repeatable();
+    request.keyed = in.keyed();
+    request.max_wait = milliseconds(in.wait_ms());
+    request.replaces = ticket_id{in.replaces_ticket()};
+    return request;
 }
 
 }  // namespace
 
-home_desk::home_desk(const entry_settings& settings, home_desk_parts parts)
-    : settings_(settings), parts_(parts) {}
+allocator_service::allocator_service(const entry_settings& settings,
+                                     allocator_service_context context)
+    : settings_(settings), context_(context) {}
 
-home_desk::~home_desk() = default;
+allocator_service::~allocator_service() = default;
 
-shard_index home_desk::shard_of(budget_id budget) const {
+shard_index allocator_service::shard_of(budget_id budget) const {
     return shard_index{static_cast<std::uint32_t>(raw(budget) % settings_.process.ledger_shards)};
 }
 
-void home_desk::restart(incarnation_id own) {
-    own_ = own;
+void allocator_service::restart(incarnation_id incarnation) {
+    incarnation_ = incarnation;
     ticket_shards_.clear();
-    reporters_.clear();
+    charge_reporters_.clear();
     for (auto& [index, item] : shards_) {
-        for (auto& [number, done] : item->parked) {
+        for (auto& [number, done] : item->waiting_replies) {
             done(unreachable());
         }
-        item->parked.clear();
-        start_home(*item);
+        item->waiting_replies.clear();
+        create_allocator(*item);
     }
 }
 
-void home_desk::start_home(desk_shard& target) {
+void allocator_service::create_allocator(served_shard& shard) {
     allocator_settings settings;
-    settings.incarnation = own_;
-    settings.endpoint = parts_.bus.endpoint();
+    settings.incarnation = incarnation_;
+    settings.endpoint = context_.bus.endpoint();
     settings.policy = grant_policy_named(settings_.policy, settings_.grants);
-    settings.allocator_count = parts_.fleet.home_count();
+    settings.allocator_count = context_.cluster.allocator_count();
     settings.confirmation_timeout = confirmation_timeout;
-    target.batch.clear();
-    target.replica->set_writer(own_);
-    desk_shard* shard = &target;
-    target.home = std::make_unique<budget_allocator>(
-        settings, target.replica->state(), parts_.random,
-        [shard](std::uint64_t number, const reservation_reply& answer) {
-            auto waiting = shard->parked.extract(number);
+    shard.submitted_batch.clear();
+    shard.replica->set_writer(incarnation_);
+    served_shard* owner = &shard;
+    shard.allocator = std::make_unique<budget_allocator>(
+        settings, shard.replica->state(), context_.random,
+        [owner](std::uint64_t number, const reservation_reply& reply) {
+            auto waiting = owner->waiting_replies.extract(number);
             if (!waiting.empty()) {
-                waiting.mapped()(answer);
+                waiting.mapped()(reply);
             }
         });
-    const member* self = parts_.control.state().find(own_);
+    const member* self = context_.control.state().find(incarnation_);
     const log_offset registered = self == nullptr ? log_offset{} : self->registered_at;
-    target.home->set_least_control_offset(
-        std::max(registered, parts_.control.state().last_guard_fence()));
+    shard.allocator->set_least_control_offset(
+        std::max(registered, context_.control.state().last_guard_fence()));
 }
 
-home_desk::desk_shard& home_desk::shard(shard_index index) {
+allocator_service::served_shard& allocator_service::open_shard(shard_index index) {
     const auto known = shards_.find(index);
     if (known != shards_.end()) {
         known->second->last_used = monotonic_now();
         return *known->second;
     }
-    auto made = std::make_unique<desk_shard>();
-    desk_shard* target = made.get();
+    auto new_shard = std::make_unique<served_shard>();
+    served_shard* shard = new_shard.get();
     ledger_replica_hooks hooks;
-    hooks.applied = [this, target](const ledger_batch& batch,
-                                   std::span<const operation_outcome> outcomes,
-                                   bool own) { on_applied(*target, batch, outcomes, own); };
-    hooks.caught_up = [this, target] { on_caught_up(*target); };
-    hooks.restored = [this, target] {
-        // Outcomes of own batches may have been skipped, so what this home counted is void. It goes
-        // on under the same incarnation only if it has nothing out.
-        if (target->home != nullptr && !target->home->idle()) {
+    hooks.applied =
+        [this, shard](const ledger_batch& batch, std::span<const operation_outcome> outcomes,
+                      bool submitted_here) { on_applied(*shard, batch, outcomes, submitted_here); };
+    hooks.caught_up = [this, shard] { on_caught_up(*shard); };
+    hooks.restored = [this, shard] {
+        // A restored snapshot may have skipped outcomes of batches from this entry, so the counts
+        // of the allocator are invalid. It can keep the incarnation only if nothing is outstanding.
+        if (shard->allocator != nullptr && !shard->allocator->idle()) {
             log_event(log_level::warning, "home_lost_its_place", {});
-            parts_.control.submit(fence_record{own_});
+            context_.control.submit(fence_record{incarnation_});
         }
     };
-    target->replica = std::make_unique<ledger_replica>(
-        parts_.loop, parts_.log, index, settings_.process.snapshot_records, parts_.random,
-        parts_.counters, std::move(hooks));
-    shards_.emplace(index, std::move(made));
-    start_home(*target);
+    shard->replica = std::make_unique<ledger_replica>(
+        context_.loop, context_.log, index, settings_.process.snapshot_records, context_.random,
+        context_.counters, std::move(hooks));
+    shards_.emplace(index, std::move(new_shard));
+    create_allocator(*shard);
     if (draining_) {
-        target->home->set_draining(true);
+        shard->allocator->set_draining(true);
     }
-    target->last_used = monotonic_now();
-    target->replica->start();
-    return *target;
+    shard->last_used = monotonic_now();
+    shard->replica->start();
+    return *shard;
 }
 
-const ledger_replica& home_desk::replica(shard_index index) {
-    return *shard(index).replica;
+const ledger_replica& allocator_service::replica(shard_index index) {
+    return *open_shard(index).replica;
 }
 
-void home_desk::reserve(const reservation_request& ask, answer_hook done) {
-    desk_shard& target = shard(shard_of(budget_id_of(ask.budget)));
-    if (!target.replica->live()) {
-        target.early.push_back({ask, std::move(done), monotonic_now() + early_patience});
+void allocator_service::reserve(const reservation_request& request, reply_hook done) {
+    served_shard& shard = open_shard(shard_of(budget_id_of(request.budget)));
+    if (!shard.replica->live()) {
+        shard.deferred.push_back({request, std::move(done), monotonic_now() + deferral_timeout});
         return;
     }
-    reserve_at(target, ask, std::move(done));
+    reserve_at(shard, request, std::move(done));
 }
 
-void home_desk::reserve_at(desk_shard& target, const reservation_request& ask, answer_hook done) {
+void allocator_service::reserve_at(served_shard& shard, const reservation_request& request,
+                                   reply_hook done) {
     const instant now = monotonic_now();
-    reservation_request numbered = ask;
-    numbered.request_id = next_ask_++;
-    const shard_index index = shard_of(budget_id_of(ask.budget));
-    answer_hook told = [this, index, done = std::move(done)](const reservation_reply& answer) {
-        parts_.counters.counter(
-            labelled("home_reservations_total", {{"outcome", name_of(answer.outcome)}})) += 1;
-        if (answer.outcome == reservation_outcome::granted) {
-            ticket_shards_[answer.granted.id] = index;
+    reservation_request numbered = request;
+    numbered.request_id = next_request_id_++;
+    const shard_index index = shard_of(budget_id_of(request.budget));
+    reply_hook on_reply = [this, index, done = std::move(done)](const reservation_reply& reply) {
+        context_.counters.counter(
+            labelled("home_reservations_total", {{"outcome", name_of(reply.outcome)}})) += 1;
+        if (reply.outcome == reservation_outcome::granted) {
+            ticket_shards_[reply.granted.id] = index;
         }
-        done(answer);
+        done(reply);
     };
-    target.home->set_log_reachable(target.replica->log_healthy(now));
-    target.home->set_control_offset(parts_.control.position());
-    target.home->set_draining(draining_);
-    // The answer may come while the ask is being made, so the hook is put in place first.
-    target.parked[numbered.request_id] = told;
-    const std::optional<reservation_reply> answer = target.home->reserve(now, numbered);
-    if (answer) {
-        target.parked.erase(numbered.request_id);
-        told(*answer);
+    shard.allocator->set_log_reachable(shard.replica->log_healthy(now));
+    shard.allocator->set_control_offset(context_.control.position());
+    shard.allocator->set_draining(draining_);
+    // The allocator may reply during reserve(), so the hook is registered first.
+    shard.waiting_replies[numbered.request_id] = on_reply;
+    const std::optional<reservation_reply> reply = shard.allocator->reserve(now, numbered);
+    if (reply) {
+        shard.waiting_replies.erase(numbered.request_id);
+        on_reply(*reply);
     }
-    pump(now);
+    append_due_batches(now);
 }
 
-void home_desk::on_reserve(const message_origin& origin, const wire::ReserveRequest& request) {
+void allocator_service::on_reserve(const message_origin& origin,
+                                   const wire::ReserveRequest& request) {
     const std::uint64_t number = request.request();
-    reserve(decode_ask(request), [this, origin, number](const reservation_reply& answer) {
+    reserve(decode_reservation_request(request), [this, origin,
+                                                  number](const reservation_reply& reply) {
         wire::Envelope message;
-        message.set_sender(raw(own_));
-        wire::ReserveReply& reply = *message.mutable_reserve_reply();
-        reply.set_request(number);
-        reply.set_outcome(encode_outcome(answer.outcome));
-        if (answer.outcome == reservation_outcome::granted) {
-            encode_ticket(answer.granted, *reply.mutable_ticket());
+        message.set_sender(raw(incarnation_));
+        wire::ReserveReply& out = *message.mutable_reserve_reply();
+        out.set_request(number);
+        out.set_outcome(encode_outcome(reply.outcome));
+        if (reply.outcome == reservation_outcome::granted) {
+            encode_ticket(reply.granted, *out.mutable_ticket());
         }
-        reply.set_guard_endpoint(answer.guard_endpoint);
-        reply.set_key_holder(raw(answer.key_holder));
-        const auto wait = std::chrono::duration_cast<milliseconds>(answer.retry_after).count();
-        reply.set_retry_after_ms(static_cast<std::uint32_t>(wait));
-        parts_.bus.answer(origin, message);
+        out.set_guard_endpoint(reply.guard_endpoint);
+        out.set_key_holder(raw(reply.key_holder));
+        const auto wait = std::chrono::duration_cast<milliseconds>(reply.retry_after).count();
+        out.set_retry_after_ms(static_cast<std::uint32_t>(wait));
+        context_.bus.answer(origin, message);
     });
 }
 
-budget_allocator* home_desk::home_with(ticket_id id) {
+budget_allocator* allocator_service::allocator_of_ticket(ticket_id id) {
     const auto known = ticket_shards_.find(id);
-    return known == ticket_shards_.end() ? nullptr : shards_.at(known->second)->home.get();
+    return known == ticket_shards_.end() ? nullptr : shards_.at(known->second)->allocator.get();
 }
 
-void home_desk::started(ticket_id id, incarnation_id guard, const std::string& guard_endpoint) {
-    budget_allocator* home = home_with(id);
-    if (home != nullptr && !home->ticket_started(id, guard, guard_endpoint)) {
-        parts_.counters.counter("home_impossible_transitions_total") += 1;
+void allocator_service::ticket_started(ticket_id id, incarnation_id guard,
+                                       const std::string& guard_endpoint) {
+    budget_allocator* allocator = allocator_of_ticket(id);
+    if (allocator != nullptr && !allocator->ticket_started(id, guard, guard_endpoint)) {
+        context_.counters.counter("home_impossible_transitions_total") += 1;
     }
 }
 
-void home_desk::release(ticket_id id) {
-    budget_allocator* home = home_with(id);
-    if (home != nullptr && !home->release_ticket(id)) {
-        parts_.counters.counter("home_impossible_transitions_total") += 1;
+void allocator_service::release_ticket(ticket_id id) {
+    budget_allocator* allocator = allocator_of_ticket(id);
+    if (allocator != nullptr && !allocator->release_ticket(id)) {
+        context_.counters.counter("home_impossible_transitions_total") += 1;
     }
     ticket_shards_.erase(id);
 }
 
-void home_desk::on_charges(const message_origin& origin, const wire::ChargeReport& report) {
+void allocator_service::on_charges(const message_origin& origin, const wire::ChargeReport& report) {
     const instant now = monotonic_now();
     for (const wire::Charge& item : report.charges()) {
         const charge ended = decode_charge(item, incarnation_id{});
-        reporters_[ended.ticket] = origin;
-        shard(shard_of(ended.budget)).home->charge_reported(now, ended);
+        charge_reporters_[ended.ticket] = origin;
+        open_shard(shard_of(ended.budget)).allocator->charge_reported(now, ended);
     }
 }
 
-void home_desk::on_void_reply(const wire::VoidReply& reply) {
+void allocator_service::on_void_reply(const wire::VoidReply& reply) {
     const incarnation_id guard{reply.guard()};
     for (const std::uint64_t number : reply.voided()) {
-        budget_allocator* home = home_with(ticket_id{number});
-        if (home != nullptr) {
-            home->ticket_voided(ticket_id{number}, guard);
+        budget_allocator* allocator = allocator_of_ticket(ticket_id{number});
+        if (allocator != nullptr) {
+            allocator->ticket_voided(ticket_id{number}, guard);
         }
     }
-    const std::string endpoint = parts_.fleet.endpoint_of(guard);
+    const std::string endpoint = context_.cluster.endpoint_of(guard);
     for (const std::uint64_t number : reply.started()) {
-        started(ticket_id{number}, guard, endpoint);
+        ticket_started(ticket_id{number}, guard, endpoint);
     }
 }
 
-void home_desk::on_fence(incarnation_id fenced) {
-    const member* known = parts_.control.state().find(fenced);
+void allocator_service::on_fence(incarnation_id fenced) {
+    const member* known = context_.control.state().find(fenced);
     if (known == nullptr || known->info.role != member_role::guard) {
         return;
     }
     for (auto& [index, item] : shards_) {
-        item->home->guard_fenced(fenced);
-        item->home->set_least_control_offset(known->fenced_at);
+        item->allocator->guard_fenced(fenced);
+        item->allocator->set_least_control_offset(known->fenced_at);
     }
 }
 
-void home_desk::submit(shard_index index, ledger_operation operation, outcome_hook done) {
-    desk_shard& target = shard(index);
+void allocator_service::submit(shard_index index, ledger_operation operation, outcome_hook done) {
+    served_shard& shard = open_shard(index);
     if (const auto* set = std::get_if<set_budget_operation>(&operation)) {
-        target.operator_operations[set->operation] = std::move(done);
+        shard.operator_operations[set->operation] = std::move(done);
     } else {
         done(operation_outcome::accepted);
     }
-    target.home->enqueue(std::move(operation));
-    pump(monotonic_now());
+    shard.allocator->enqueue(std::move(operation));
+    append_due_batches(monotonic_now());
 }
 
-void home_desk::on_applied(desk_shard& target, const ledger_batch& batch,
-                           std::span<const operation_outcome> outcomes, bool own) {
+void allocator_service::on_applied(served_shard& shard, const ledger_batch& batch,
+                                   std::span<const operation_outcome> outcomes,
+                                   bool submitted_here) {
     const instant now = monotonic_now();
     for (const ledger_operation& operation : batch.operations) {
         if (const auto* settle = std::get_if<settle_operation>(&operation)) {
-            target.home->observe_settlement(now, settle->settled.budget, settle->settled.amount);
+            shard.allocator->observe_settlement(now, settle->settled.budget,
+                                                settle->settled.amount);
         }
         const auto* draw = std::get_if<draw_operation>(&operation);
-        if (draw != nullptr && draw->need > 0 && batch.writer != own_) {
-            target.home->remote_need_changed(now, draw->budget);
+        if (draw != nullptr && draw->need > 0 && batch.writer != incarnation_) {
+            shard.allocator->remote_need_changed(now, draw->budget);
         }
     }
-    if (own && !target.batch.empty()) {
-        const std::vector<ledger_operation> sent = std::exchange(target.batch, {});
-        acknowledge(target.home->batch_applied(now, sent));
+    if (submitted_here && !shard.submitted_batch.empty()) {
+        const std::vector<ledger_operation> sent = std::exchange(shard.submitted_batch, {});
+        acknowledge_charges(shard.allocator->batch_applied(now, sent));
     }
-    note_operator_outcomes(target, batch, outcomes);
-    target.home->ledger_changed(now);
+    report_operator_outcomes(shard, batch, outcomes);
+    shard.allocator->ledger_changed(now);
 }
 
-void home_desk::note_operator_outcomes(desk_shard& target, const ledger_batch& batch,
-                                       std::span<const operation_outcome> outcomes) {
-    if (target.operator_operations.empty()) {
+void allocator_service::report_operator_outcomes(served_shard& shard, const ledger_batch& batch,
+                                                 std::span<const operation_outcome> outcomes) {
+    if (shard.operator_operations.empty()) {
         return;
     }
-    for (std::size_t place = 0; place < batch.operations.size(); ++place) {
-        const auto* set = std::get_if<set_budget_operation>(&batch.operations[place]);
+    for (std::size_t index = 0; index < batch.operations.size(); ++index) {
+        const auto* set = std::get_if<set_budget_operation>(&batch.operations[index]);
         if (set == nullptr) {
             continue;
         }
-        auto awaited = target.operator_operations.extract(set->operation);
-        if (!awaited.empty()) {
-            awaited.mapped()(outcomes[place]);
+        auto pending = shard.operator_operations.extract(set->operation);
+        if (!pending.empty()) {
+            pending.mapped()(outcomes[index]);
         }
     }
 }
 
-void home_desk::acknowledge(const std::vector<ticket_id>& settled) {
-    std::map<std::string, wire::Envelope> by_connection;
+void allocator_service::acknowledge_charges(const std::vector<ticket_id>& settled) {
+    std::map<std::string, wire::Envelope> acks_by_connection;
     std::map<std::string, message_origin> origins;
     for (const ticket_id id : settled) {
         ticket_shards_.erase(id);
-        parts_.events.add(timeline_kind::charge_settled, "", {}, id, "");
-        const auto reporter = reporters_.find(id);
-        if (reporter == reporters_.end()) {
+        context_.events.add(timeline_kind::charge_settled, "", {}, id, "");
+        const auto reporter = charge_reporters_.find(id);
+        if (reporter == charge_reporters_.end()) {
             continue;
         }
-        const std::string name = reporter->second.connection + reporter->second.endpoint;
-        origins[name] = reporter->second;
-        by_connection[name].mutable_charge_ack()->add_tickets(raw(id));
-        reporters_.erase(reporter);
+        const std::string connection = reporter->second.connection + reporter->second.endpoint;
+        origins[connection] = reporter->second;
+        acks_by_connection[connection].mutable_charge_ack()->add_tickets(raw(id));
+        charge_reporters_.erase(reporter);
     }
-    for (auto& [name, message] : by_connection) {
-        message.set_sender(raw(own_));
-        parts_.bus.answer(origins[name], message);
+    for (auto& [connection, message] : acks_by_connection) {
+        message.set_sender(raw(incarnation_));
+        context_.bus.answer(origins[connection], message);
     }
 }
 
-void home_desk::on_caught_up(desk_shard& target) {
-    std::vector<waiting_ask> early = std::exchange(target.early, {});
-    for (waiting_ask& item : early) {
-        reserve_at(target, item.ask, std::move(item.done));
+void allocator_service::on_caught_up(served_shard& shard) {
+    std::vector<deferred_request> deferred = std::exchange(shard.deferred, {});
+    for (deferred_request& item : deferred) {
+        reserve_at(shard, item.request, std::move(item.done));
     }
-    pump(monotonic_now());
+    append_due_batches(monotonic_now());
 }
 
-void home_desk::pump(instant now) {
-    const bool may_write = own_ != incarnation_id{} && parts_.control.state().is_active(own_);
-    if (!may_write) {
+void allocator_service::append_due_batches(instant now) {
+    const bool can_write =
+        incarnation_ != incarnation_id{} && context_.control.state().is_active(incarnation_);
+    if (!can_write) {
         return;
     }
     for (auto& [index, item] : shards_) {
-        const bool due = item->home->urgent() || now - item->last_append >= settings_.settle_period;
+        const bool due =
+            item->allocator->urgent() || now - item->last_append >= settings_.settle_period;
         if (!due || item->replica->busy() || !item->replica->live()) {
             continue;
         }
-        std::vector<ledger_operation> batch = item->home->take_batch();
+        std::vector<ledger_operation> batch = item->allocator->take_batch();
         if (batch.empty()) {
             continue;
         }
         item->last_append = now;
-        item->batch = batch;
+        item->submitted_batch = batch;
         item->replica->submit(std::move(batch));
     }
 }
 
-void home_desk::tick(instant now) {
+void allocator_service::tick(instant now) {
     for (std::uint32_t index = 0; index < settings_.process.ledger_shards; ++index) {
-        if (parts_.fleet.serves(shard_index{index})) {
-            shard(shard_index{index});
+        if (context_.cluster.is_primary_allocator(shard_index{index})) {
+            open_shard(shard_index{index});
         }
     }
     for (auto& [index, item] : shards_) {
-        item->home->set_log_reachable(item->replica->log_healthy(now));
-        item->home->set_control_offset(parts_.control.position());
+        item->allocator->set_log_reachable(item->replica->log_healthy(now));
+        item->allocator->set_control_offset(context_.control.position());
         item->replica->tick(now);
-        std::vector<waiting_ask> still;
-        for (waiting_ask& waiting : item->early) {
-            if (waiting.until <= now) {
+        std::vector<deferred_request> remaining;
+        for (deferred_request& waiting : item->deferred) {
+            if (waiting.deadline <= now) {
                 waiting.done(unreachable());
             } else {
-                still.push_back(std::move(waiting));
+                remaining.push_back(std::move(waiting));
             }
         }
-        item->early = std::move(still);
-        if (!item->replica->live() || !parts_.control.state().is_active(own_)) {
+        item->deferred = std::move(remaining);
+        if (!item->replica->live() || !context_.control.state().is_active(incarnation_)) {
             continue;
         }
-        item->home->tick(now);
-        ask_for_unclear(*item, now);
-        reclaim_fenced(*item, now);
+        item->allocator->tick(now);
+        query_unconfirmed_tickets(*item, now);
+        reclaim_from_fenced(*item, now);
     }
-    retire_unused(now);
-    pump(now);
+    close_unused_shards(now);
+    append_due_batches(now);
 }
 
-bool home_desk::keeps_no_state(const desk_shard& target) const {
-    return target.home->idle() && target.early.empty() && target.parked.empty() &&
-           target.operator_operations.empty() && !target.replica->busy() &&
-           target.replica->state().budgets_of(own_).empty() &&
-           target.replica->state().key_holder() != own_;
+bool allocator_service::has_no_state(const served_shard& shard) const {
+    return shard.allocator->idle() && shard.deferred.empty() && shard.waiting_replies.empty() &&
+           shard.operator_operations.empty() && !shard.replica->busy() &&
+           shard.replica->state().budgets_of(incarnation_).empty() &&
+           shard.replica->state().key_holder() != incarnation_;
 }
 
-/// A shard that was read for an operator's question, or served in place of a home that is back, is
-/// given up: each costs about a kilobyte a second to read at the design size.
-void home_desk::retire_unused(instant now) {
+/// Closes shards that were opened for an operator's query or in place of a primary allocator that
+/// is back: reading each costs about a kilobyte per second at the design size.
+void allocator_service::close_unused_shards(instant now) {
     std::erase_if(shards_, [&](const auto& item) {
-        desk_shard& target = *item.second;
-        const bool unused = !parts_.fleet.serves(item.first) && target.replica->live() &&
-                            now - target.last_used > unused_shard_kept;
+        served_shard& shard = *item.second;
+        const bool unused = !context_.cluster.is_primary_allocator(item.first) &&
+                            shard.replica->live() && now - shard.last_used > unused_shard_retention;
         if (!unused) {
             return false;
         }
-        target.home->set_draining(true);
-        return keeps_no_state(target);
+        shard.allocator->set_draining(true);
+        return has_no_state(shard);
     });
 }
 
-void home_desk::ask_for_unclear(desk_shard& target, instant now) {
-    const std::vector<incarnation_id>& guards = parts_.fleet.guards();
-    const std::vector<ticket_id> unclear = target.home->take_unconfirmed(now, guards);
-    if (unclear.empty()) {
+void allocator_service::query_unconfirmed_tickets(served_shard& shard, instant now) {
+    const std::vector<incarnation_id>& guards = context_.cluster.guards();
+    const std::vector<ticket_id> unconfirmed = shard.allocator->take_unconfirmed(now, guards);
+    if (unconfirmed.empty()) {
         return;
     }
-    parts_.counters.counter("home_unclear_tickets_total") += unclear.size();
+    context_.counters.counter("home_unclear_tickets_total") += unconfirmed.size();
     wire::Envelope message;
-    message.set_sender(raw(own_));
-    message.mutable_void_request()->set_home(raw(own_));
-    for (const ticket_id id : unclear) {
+    message.set_sender(raw(incarnation_));
+    message.mutable_void_request()->set_home(raw(incarnation_));
+    for (const ticket_id id : unconfirmed) {
         message.mutable_void_request()->add_tickets(raw(id));
     }
     for (const incarnation_id guard : guards) {
-        parts_.bus.send(parts_.fleet.endpoint_of(guard), message);
+        context_.bus.send(context_.cluster.endpoint_of(guard), message);
     }
 }
 
-void home_desk::reclaim_fenced(desk_shard& target, instant now) {
-    const ledger_state& ledger = target.replica->state();
-    for (const auto& [fenced, fence] : parts_.control.state().fences()) {
-        const member* known = parts_.control.state().find(fenced);
-        const bool ready = known != nullptr && known->info.role == member_role::entry &&
-                           fence.complete() && !ledger.is_closed(fenced) &&
-                           ledger.writers().count(fenced) > 0;
-        if (!ready) {
+void allocator_service::reclaim_from_fenced(served_shard& shard, instant now) {
+    const ledger_state& ledger = shard.replica->state();
+    for (const auto& [fenced, fence] : context_.control.state().fences()) {
+        const member* known = context_.control.state().find(fenced);
+        const bool reclaimable = known != nullptr && known->info.role == member_role::entry &&
+                                 fence.complete() && !ledger.is_closed(fenced) &&
+                                 ledger.writers().count(fenced) > 0;
+        if (!reclaimable) {
             continue;
         }
-        const auto tried = target.reclaim_tried.find(fenced);
-        if (tried != target.reclaim_tried.end() && now - tried->second < reclaim_retry) {
+        const auto last_tried = shard.last_reclaim.find(fenced);
+        if (last_tried != shard.last_reclaim.end() && now - last_tried->second < reclaim_retry) {
             continue;
         }
-        target.reclaim_tried[fenced] = now;
+        shard.last_reclaim[fenced] = now;
         reclaim_operation reclaim;
         reclaim.holder = fenced;
         for (const charge& item : fence.charges) {
@@ -425,38 +435,39 @@
                 reclaim.charges.push_back(item);
             }
         }
-        parts_.events.add(timeline_kind::grant_reclaimed, "", {}, {}, std::to_string(raw(fenced)));
-        target.home->enqueue(reclaim);
+        context_.events.add(timeline_kind::grant_reclaimed, "", {}, {},
+                            std::to_string(raw(fenced)));
+        shard.allocator->enqueue(reclaim);
     }
 }
 
-void home_desk::start_drain() {
+void allocator_service::start_drain() {
     draining_ = true;
     for (auto& [index, item] : shards_) {
-        item->home->set_draining(true);
+        item->allocator->set_draining(true);
     }
 }
 
-bool home_desk::idle() const {
+bool allocator_service::idle() const {
     return std::all_of(shards_.begin(), shards_.end(), [this](const auto& item) {
-        const desk_shard& target = *item.second;
-        return keeps_no_state(target);
+        const served_shard& shard = *item.second;
+        return has_no_state(shard);
     });
 }
 
-bool home_desk::is_guard_settled(incarnation_id guard) const {
+bool allocator_service::is_guard_settled(incarnation_id guard) const {
     return std::all_of(shards_.begin(), shards_.end(), [guard](const auto& item) {
-        return item.second->home->is_guard_settled(guard);
+        return item.second->allocator->is_guard_settled(guard);
     });
 }
 
-void home_desk::forget_guard(incarnation_id guard) {
+void allocator_service::forget_guard(incarnation_id guard) {
     for (auto& [index, item] : shards_) {
-        item->home->forget_guard(guard);
+        item->allocator->forget_guard(guard);
     }
 }
 
-bool home_desk::ready() const {
+bool allocator_service::ready() const {
     return std::all_of(shards_.begin(), shards_.end(),
                        [](const auto& item) { return item.second->replica->live(); });
 }
--- a/src/roles/entry/home_desk.hpp
+++ b/src/roles/entry/home_desk.hpp
@@ -20,123 +20,127 @@
 
 namespace wrenswitch {
 
-/// What the desk uses of its process. All must outlive it.
-struct home_desk_parts {
+/// Dependencies of the allocator service. All must outlive it.
+struct allocator_service_context {
     event_loop& loop;
     log_service& log;
     message_bus& bus;
     control_replica& control;
-    fleet_view& fleet;
+    cluster_view& cluster;
     random_source& random;
     metrics& counters;
     timeline& events;
 };
 
-/// Runs the budget homes of one entry: a ledger replica and a home for each shard that it serves,
-/// and the messages to and from them.
-class home_desk {
+/// Runs the token allocators of one entry: a ledger replica and a budget allocator for each shard
+/// in use, and the messages to and from them.
+class allocator_service {
 public:
-    /// Told the answer to an ask.
-    using answer_hook = std::function<void(const reservation_reply&)>;
+    /// Receives the reply to a reservation request.
+    using reply_hook = std::function<void(const reservation_reply&)>;
 
-    /// Told what the fold did with an operator's operation.
+    /// Receives the outcome of an operator's operation when it is applied to the ledger.
     using outcome_hook = std::function<void(operation_outcome)>;
 
-    home_desk(const entry_settings& settings, home_desk_parts parts);
-    ~home_desk();
-    home_desk(const home_desk&) = delete;
-    home_desk& operator=(const home_desk&) = delete;
+    allocator_service(const entry_settings& settings, allocator_service_context context);
+    ~allocator_service();
+    allocator_service(const allocator_service&) = delete;
+    allocator_service& operator=(const allocator_service&) = delete;
 
-    /// Begins anew under an incarnation: all that an earlier one held is gone.
-    void restart(incarnation_id own);
+    /// Starts over under a new incarnation. Drops the state of the old one and replies
+    /// budget_unreachable to waiting requests.
+    void restart(incarnation_id incarnation);
 
-    /// The shard of a budget.
     shard_index shard_of(budget_id budget) const;
 
-    /// Reserves for a request of this entry or, through a message, of another one.
-    void reserve(const reservation_request& ask, answer_hook done);
+    /// Reserves tokens. `done` may be called before this returns; if the ledger replica of the
+    /// shard is not live yet, the request is deferred for a limited time.
+    void reserve(const reservation_request& request, reply_hook done);
 
-    /// A guard took a ticket of this entry's.
-    void started(ticket_id id, incarnation_id guard, const std::string& guard_endpoint);
+    /// Records that a guard started the request of a ticket that this entry granted.
+    void ticket_started(ticket_id id, incarnation_id guard, const std::string& guard_endpoint);
 
-    /// A ticket of this entry's ran nowhere.
-    void release(ticket_id id);
+    /// Returns a granted ticket that was not used by any guard.
+    void release_ticket(ticket_id id);
 
     void on_reserve(const message_origin& origin, const wire::ReserveRequest& request);
     void on_charges(const message_origin& origin, const wire::ChargeReport& report);
     void on_void_reply(const wire::VoidReply& reply);
 
-    /// A fence was read from the control stream.
+    /// Handles a fence that was applied from the control stream. Only fences of guards matter here.
     void on_fence(incarnation_id fenced);
 
-    /// Queues an operator's operation in a shard and reports what became of it.
+    /// Queues an operator's operation in a shard. `done` gets the outcome of a set_budget_operation
+    /// when the ledger shows it, and `accepted` at once for any other operation.
     void submit(shard_index shard, ledger_operation operation, outcome_hook done);
 
-    /// The replica of a shard, which is started if need be.
+    /// Returns the replica of a shard and starts it if necessary.
     const ledger_replica& replica(shard_index shard);
 
     void tick(instant now);
 
-    /// Appends what is due. Called often.
-    void pump(instant now);
+    /// Submits the pending operations of each shard that are due: urgent ones at once, others once
+    /// per settle period.
+    void append_due_batches(instant now);
 
     void start_drain();
     bool idle() const;
 
-    /// True if every home is done with a fenced guard.
+    /// True if every allocator has settled all tickets at a fenced guard.
     bool is_guard_settled(incarnation_id guard) const;
     void forget_guard(incarnation_id guard);
 
-    /// True if all shards that this entry should serve are read up to the log's end.
+    /// True if all open ledger replicas have reached the end of the log.
     bool ready() const;
 
 private:
-    struct waiting_ask {
-        reservation_request ask;
-        answer_hook done;
-        instant until{};
+    struct deferred_request {
+        reservation_request request;
+        reply_hook done;
+        instant deadline{};
     };
 
-    /// One shard that this entry serves.
-    struct desk_shard {
+    /// A shard with an open replica and allocator.
+    struct served_shard {
         std::unique_ptr<ledger_replica> replica;
-        std::unique_ptr<budget_allocator> home;
-        std::vector<ledger_operation> batch;
+        std::unique_ptr<budget_allocator> allocator;
+        std::vector<ledger_operation> submitted_batch;
         instant last_append{};
-        /// When somebody last asked for something here.
+        /// Last time that the shard was looked up.
         instant last_used{};
-        /// Asks that came before the replica was read to its end.
-        std::vector<waiting_ask> early;
-        std::unordered_map<std::uint64_t, answer_hook> parked;
-        /// Operators' operations by their identifier.
+        /// Requests that arrived before the replica reached the end of the log.
+        std::vector<deferred_request> deferred;
+        /// Hooks of requests that wait for tokens, by request identifier.
+        std::unordered_map<std::uint64_t, reply_hook> waiting_replies;
+        /// Hooks of operators' operations that the ledger has not shown yet.
         std::unordered_map<operation_id, outcome_hook> operator_operations;
-        std::map<incarnation_id, instant> reclaim_tried;
+        std::map<incarnation_id, instant> last_reclaim;
     };
 
-    desk_shard& shard(shard_index index);
-    void start_home(desk_shard& target);
-    void on_applied(desk_shard& target, const ledger_batch& batch,
-                    std::span<const operation_outcome> outcomes, bool own);
-    void on_caught_up(desk_shard& target);
-    void reserve_at(desk_shard& target, const reservation_request& ask, answer_hook done);
-    void acknowledge(const std::vector<ticket_id>& settled);
-    bool keeps_no_state(const desk_shard& target) const;
-    void retire_unused(instant now);
-    void ask_for_unclear(desk_shard& target, instant now);
-    void reclaim_fenced(desk_shard& target, instant now);
-    void note_operator_outcomes(desk_shard& target, const ledger_batch& batch,
-                                std::span<const operation_outcome> outcomes);
-    budget_allocator* home_with(ticket_id id);
+    served_shard& open_shard(shard_index index);
+    void create_allocator(served_shard& shard);
+    void on_applied(served_shard& shard, const ledger_batch& batch,
+                    std::span<const operation_outcome> outcomes, bool submitted_here);
+    void on_caught_up(served_shard& shard);
+    void reserve_at(served_shard& shard, const reservation_request& request, reply_hook done);
+    void acknowledge_charges(const std::vector<ticket_id>& settled);
+    bool has_no_state(const served_shard& shard) const;
+    void close_unused_shards(instant now);
+    void query_unconfirmed_tickets(served_shard& shard, instant now);
+    void reclaim_from_fenced(served_shard& shard, instant now);
+    void report_operator_outcomes(served_shard& shard, const ledger_batch& batch,
+                                  std::span<const operation_outcome> outcomes);
+    budget_allocator* allocator_of_ticket(ticket_id id);
 
     const entry_settings& settings_;
-    home_desk_parts parts_;
-    incarnation_id own_{};
-    std::map<shard_index, std::unique_ptr<desk_shard>> shards_;
-    /// Which shard a ticket of this entry belongs to.
+    allocator_service_context context_;
+    incarnation_id incarnation_{};
+    std::map<shard_index, std::unique_ptr<served_shard>> shards_;
+    /// The shard of each ticket granted by this entry.
     std::unordered_map<ticket_id, shard_index> ticket_shards_;
-    /// Who reported a charge that is not in the ledger yet.
-    std::unordered_map<ticket_id, message_origin> reporters_;
-    std::uint64_t next_ask_ = 1;
+    /// The sender of each reported charge that is not in the ledger yet.
+    std::unordered_map<ticket_id, message_origin> charge_reporters_;
+    std::uint64_t next_request_id_ = 1;
     bool draining_ = false;
 };
 
--- a/src/roles/entry/operator_desk.hpp
+++ b/src/roles/entry/operator_desk.hpp
@@ -16,41 +16,42 @@
 
 namespace wrenswitch {
 
-/// What the desk uses of its process. All must outlive it.
-struct operator_desk_parts {
+/// Dependencies of the operator API. All must outlive it.
+struct operator_api_context {
     event_loop& loop;
     control_replica& control;
-    fleet_view& fleet;
-    home_desk& homes;
+    cluster_view& cluster;
+    allocator_service& allocators;
     random_source& random;
 };
 
-/// Takes operators' scripts, carries out their statements one after another and answers with what
-/// became of each. A statement is reported as done only after it was read back from the log.
-class operator_desk {
+/// Executes operators' command scripts statement by statement and responds with the outcome of
+/// each. A change is reported as done only after it was read back from the log; a release is
+/// reported once it is queued.
+class operator_api {
 public:
-    operator_desk(const entry_settings& settings, operator_desk_parts parts);
+    operator_api(const entry_settings& settings, operator_api_context context);
 
-    /// Handles POST /v1/operator/commands.
+    /// Handles a request to /v1/operator/commands.
     void handle(const http_exchange_pointer& exchange);
 
 private:
     struct script_run;
 
-    bool allowed(const http_exchange& exchange, operator_role needed) const;
-    operator_role needed_for(const command& statement) const;
-    void run_next(const std::shared_ptr<script_run>& run);
+    bool is_authorized(const http_exchange& exchange, operator_role required) const;
+    operator_role required_role(const command& statement) const;
+    void run_next_statement(const std::shared_ptr<script_run>& run);
     void run_change(const std::shared_ptr<script_run>& run, std::vector<command> statements);
     void try_change(const std::shared_ptr<script_run>& run, std::vector<command> statements,
-                    operation_id operation, unsigned tries);
+                    operation_id operation, unsigned attempts);
     void run_set_budget(const std::shared_ptr<script_run>& run, const command& statement);
     void run_release(const std::shared_ptr<script_run>& run, const command& statement);
-    void run_show(const std::shared_ptr<script_run>& run, const command& statement, unsigned waits);
-    bool ledgers_read() const;
+    void run_show(const std::shared_ptr<script_run>& run, const command& statement, unsigned polls);
+    bool all_ledgers_live() const;
     void finish(const std::shared_ptr<script_run>& run);
 
     const entry_settings& settings_;
-    operator_desk_parts parts_;
+    operator_api_context context_;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/entry/request_flow.hpp
+++ b/src/roles/entry/request_flow.hpp
@@ -21,49 +21,49 @@
 
 namespace wrenswitch {
 
-/// What a flow uses of its process. All must outlive it.
-struct request_flow_parts {
+/// Dependencies of a request handler. All must outlive it.
+struct request_handler_context {
     event_loop& loop;
     message_bus& bus;
-    fleet_view& fleet;
-    home_desk& homes;
+    cluster_view& cluster;
+    allocator_service& allocators;
     target_picker& picker;
     retry_budget& retries;
     random_source& random;
     metrics& counters;
     timeline& events;
     const entry_settings& settings;
-    /// The entry's present incarnation.
-    const incarnation_id& own;
+    /// The current incarnation of the entry; it changes when the entry is fenced.
+    const incarnation_id& incarnation;
 };
 
-/// How far a request has come at its entry.
-enum class flow_phase {
+/// State of a request at its entry.
+enum class request_handler_phase {
     reserving,
-    /// Waits before another try.
+    /// Waiting for the backoff before the next attempt.
     backing_off,
-    /// A dispatch is out and nothing was heard of it.
+    /// Dispatched to a guard that has not replied yet.
     dispatched,
-    /// The guard has it, waiting or running.
+    /// Accepted by the guard; queued or running there.
     accepted,
-    /// The guard was asked to void the ticket.
+    /// Waiting for the guard to void the ticket.
     voiding,
-    /// The answer of an earlier run is being fetched.
+    /// Fetching the response of an earlier attempt from the guard that keeps it.
     joining,
     ended,
 };
 
-/// One caller's request on its way: a reservation at a home, tries at guards, and the answer back.
-/// It says "not run" only when no guard started the request and none can.
-class request_flow : public std::enable_shared_from_this<request_flow> {
+/// Handles one caller request: reserves tokens at an allocator, dispatches the request to guards
+/// with retries, and forwards the response. It reports "not run" only when no guard has started the
+/// request and none can start it any more.
+class request_handler : public std::enable_shared_from_this<request_handler> {
 public:
-    /// Told once when the flow has ended and can be forgotten.
+    /// Called once with the request number when the handler has ended and can be destroyed.
     using end_hook = std::function<void(std::uint64_t)>;
 
-    request_flow(request_flow_parts parts, caller_request request, http_exchange_pointer exchange,
-                 end_hook on_end);
+    request_handler(request_handler_context context, caller_request request,
+                    http_exchange_pointer exchange, end_hook on_end);
 
-    /// Begins.
     void start();
 
     void on_reserve_reply(const wire::ReserveReply& reply);
@@ -73,67 +73,68 @@
     void on_end(incarnation_id guard, const wire::AnswerEnd& end);
     void on_void_reply(const wire::VoidReply& reply);
 
-    /// A guard was silent for too long.
+    /// Handles the loss of a guard that has been inactive for too long.
     void on_guard_lost(incarnation_id guard);
 
-    /// The guard that has the request, or zero.
+    /// The guard that the request was last sent to, or zero.
     incarnation_id guard() const { return guard_; }
 
-    flow_phase phase() const { return phase_; }
+    request_handler_phase phase() const { return phase_; }
 
 private:
-    reservation_request ask() const;
+    reservation_request make_reservation_request() const;
     void reserve();
-    void reserve_at(incarnation_id home);
-    void go_to_key_holder(const reservation_reply& answer);
-    void on_reservation(const reservation_reply& answer);
-    void refuse_reservation(const reservation_reply& answer);
+    void reserve_at(incarnation_id allocator);
+    void redirect_to_key_holder(const reservation_reply& reply);
+    void on_reservation(const reservation_reply& reply);
+    void fail_reservation(const reservation_reply& reply);
     void dispatch();
     void join(const std::string& endpoint, incarnation_id guard);
-    void ask_to_void();
-    void retry_elsewhere(microseconds least_wait);
+    void request_void();
+    void retry_elsewhere(microseconds min_delay);
     void replace_ticket();
-    void ask_next_home();
-    void tell_started();
-    void finish_whole();
-    void fail(unsigned status, std::string code, std::string message, request_fate fate,
+    void try_next_allocator();
+    void report_started();
+    void finish();
+    void fail(unsigned status, std::string code, std::string message, execution_status execution,
               microseconds retry_after);
     void fail_unknown(std::string code, std::string message);
     void end();
-    void on_caller_gone();
+    void on_caller_disconnected();
     void on_deadline();
-    void after(microseconds delay, void (request_flow::*action)());
+    void schedule(microseconds delay, void (request_handler::*action)());
     void release_ticket();
-    bool may_run_again() const;
+    bool is_retryable() const;
     microseconds time_left() const;
 
-    request_flow_parts parts_;
+    request_handler_context context_;
     caller_request request_;
     http_exchange_pointer exchange_;
     end_hook on_end_;
-    std::string name_;
-    flow_phase phase_ = flow_phase::reserving;
+    std::string request_id_;
+    request_handler_phase phase_ = request_handler_phase::reserving;
     instant arrived_;
     instant deadline_;
-    caller_reply reply_;
+    response_writer response_;
 
-    std::vector<incarnation_id> tried_homes_;
-    incarnation_id home_{};
+    std::vector<incarnation_id> tried_allocators_;
+    incarnation_id allocator_{};
     ticket ticket_;
-    ticket_id replaces_{};
+    ticket_id replaced_ticket_{};
     std::vector<incarnation_id> tried_guards_;
-    unsigned tries_ = 0;
+    unsigned dispatch_count_ = 0;
     unsigned key_redirects_ = 0;
     attempt_id attempt_{};
     incarnation_id guard_{};
     std::string guard_endpoint_;
     bool started_ = false;
-    bool counted_at_guard_ = false;
+    /// True while the picker counts the request as outstanding at `guard_`.
+    bool active_in_picker_ = false;
 
-    /// Counts the phases, so that a timer of an earlier one does nothing.
-    std::uint64_t step_ = 0;
+    /// Increases with each step, so that timers of earlier steps do nothing.
+    std::uint64_t phase_generation_ = 0;
     std::uint32_t next_chunk_ = 0;
-    bool caller_gone_ = false;
+    bool caller_disconnected_ = false;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/entry/show_tables.cpp
+++ b/src/roles/entry/show_tables.cpp
@@ -8,7 +8,7 @@
 namespace wrenswitch {
 namespace {
 
-std::string hex_of(incarnation_id id) {
+std::string to_hex(incarnation_id id) {
     constexpr int hexadecimal = 16;
     std::string text(hexadecimal, '0');
     const auto [end, problem] =
@@ -17,7 +17,7 @@
     return text;
 }
 
-std::string state_of(const member& known) {
+std::string member_state(const member& known) {
     if (known.fenced()) {
         return "fenced";
     }
@@ -29,10 +29,10 @@
                       "endpoint", "operator_address", "state"},
                      {}};
     for (const auto& [id, known] : control.members()) {
-        table.rows.push_back({hex_of(id), known.info.role == member_role::entry ? "entry" : "guard",
+        table.rows.push_back({to_hex(id), known.info.role == member_role::entry ? "entry" : "guard",
                               known.info.host, known.info.region, known.info.failure_domain,
                               known.info.service, known.info.endpoint, known.info.operator_address,
-                              state_of(known)});
+                              member_state(known)});
     }
     return table;
 }
@@ -61,14 +61,14 @@
     for (const auto& [id, fence] : control.fences()) {
         const member* known = control.find(id);
         table.rows.push_back(
-            {hex_of(id), known == nullptr ? "" : known->info.host,
+            {to_hex(id), known == nullptr ? "" : known->info.host,
              std::to_string(raw(fence.offset)), std::to_string(fence.pending_acks.size()),
              std::to_string(fence.acked_by.size()), std::to_string(fence.charges.size())});
     }
     return table;
 }
 
-/// Tokens of a budget that fenced holders still hold: nobody may spend them yet.
+/// Tokens of a budget that are held by fenced processes and cannot be spent until reclaimed.
 tokens in_doubt(const budget_state& budget, const control_state& control) {
     tokens sum = 0;
     for (const holding& item : budget.holdings) {
@@ -77,13 +77,14 @@
     return sum;
 }
 
-show_table budget_rows(const control_state& control, home_desk& homes, std::uint32_t shards) {
+show_table budget_rows(const control_state& control, allocator_service& allocators,
+                       std::uint32_t shards) {
     show_table table{{"name", "limit", "billed", "burnt", "available", "held", "in_doubt",
                       "running", "waiting", "unbacked"},
                      {}};
     std::map<std::string, const budget_state*> budgets;
     for (std::uint32_t index = 0; index < shards; ++index) {
-        for (const auto& [id, budget] : homes.replica(shard_index{index}).state().budgets()) {
+        for (const auto& [id, budget] : allocators.replica(shard_index{index}).state().budgets()) {
             budgets[budget.name] = &budget;
         }
     }
@@ -105,16 +106,17 @@
     return table;
 }
 
-show_table grant_rows(const control_state& control, home_desk& homes, std::uint32_t shards) {
+show_table grant_rows(const control_state& control, allocator_service& allocators,
+                      std::uint32_t shards) {
     show_table table{{"budget", "holder", "host", "tokens", "state"}, {}};
     for (std::uint32_t index = 0; index < shards; ++index) {
-        for (const auto& [id, budget] : homes.replica(shard_index{index}).state().budgets()) {
+        for (const auto& [id, budget] : allocators.replica(shard_index{index}).state().budgets()) {
             for (const holding& item : budget.holdings) {
                 const member* known = control.find(item.holder);
-                const bool doubt = control.is_fenced(item.holder);
+                const bool in_fenced_process = control.is_fenced(item.holder);
                 table.rows.push_back(
-                    {budget.name, hex_of(item.holder), known == nullptr ? "" : known->info.host,
-                     std::to_string(item.outstanding), doubt ? "in doubt" : "held"});
+                    {budget.name, to_hex(item.holder), known == nullptr ? "" : known->info.host,
+                     std::to_string(item.outstanding), in_fenced_process ? "in doubt" : "held"});
             }
         }
     }
@@ -151,24 +153,24 @@
     return table;
 }
 
-std::optional<std::int64_t> number_of(const std::string& text) {
+std::optional<std::int64_t> parse_integer(const std::string& text) {
     std::int64_t value = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool whole = problem == std::errc{} && end == text.data() + text.size();
-    return whole ? std::make_optional(value) : std::nullopt;
+    const bool is_integer = problem == std::errc{} && end == text.data() + text.size();
+    return is_integer ? std::make_optional(value) : std::nullopt;
 }
 
-/// Negative, zero or positive; by number where both are numbers.
+/// Three-way comparison; numeric if both values are integers.
 int compare(const std::string& left, const std::string& right) {
-    const auto left_number = number_of(left);
-    const auto right_number = number_of(right);
+    const auto left_number = parse_integer(left);
+    const auto right_number = parse_integer(right);
     if (left_number && right_number) {
         return *left_number < *right_number ? -1 : (*left_number > *right_number ? 1 : 0);
     }
     return left.compare(right);
 }
 
-bool holds(const std::string& value, const command_condition& condition) {
+bool matches(const std::string& value, const command_condition& condition) {
     const int order = compare(value, condition.value);
     switch (condition.comparison) {
         case command_comparison::equal:
@@ -189,18 +191,18 @@
     if (found != table.columns.end()) {
         return static_cast<std::size_t>(found - table.columns.begin());
     }
-    std::string known;
+    std::string available_columns;
     for (const std::string& column : table.columns) {
-        known += " " + column;
+        available_columns += " " + column;
     }
     return failed(error_code::bad_input,
-                  place + ": found column " + name + "; allowed: one of" + known);
+                  place + ": found column " + name + "; allowed: one of" + available_columns);
 }
 
 }  // namespace
 
-show_table rows_of(const std::string& noun, const control_replica& control, home_desk& homes,
-                   std::uint32_t shards) {
+show_table make_show_table(const std::string& noun, const control_replica& control,
+                           allocator_service& allocators, std::uint32_t shards) {
     const control_state& state = control.state();
     if (noun == "client_account") {
         return account_rows(state.config());
@@ -218,22 +220,22 @@
         return fence_rows(state);
     }
     if (noun == "budget") {
-        return budget_rows(state, homes, shards);
+        return budget_rows(state, allocators, shards);
     }
     if (noun == "grant") {
-        return grant_rows(state, homes, shards);
+        return grant_rows(state, allocators, shards);
     }
     return configuration_rows(control);
 }
 
-result<show_table> select_rows(show_table table, const command& statement) {
+result<show_table> apply_clauses(show_table table, const command& statement) {
     for (const command_condition& condition : statement.conditions) {
         const result<std::size_t> column = column_of(table, condition.column, statement.place);
         if (!column) {
             return column.error();
         }
         std::erase_if(table.rows, [&](const std::vector<std::string>& row) {
-            return !holds(row[column.value()], condition);
+            return !matches(row[column.value()], condition);
         });
     }
     if (!statement.order_by.empty()) {
@@ -253,19 +255,19 @@
     if (statement.columns.empty()) {
         return table;
     }
-    show_table chosen;
-    chosen.rows.resize(table.rows.size());
+    show_table selected;
+    selected.rows.resize(table.rows.size());
     for (const std::string& name : statement.columns) {
         const result<std::size_t> column = column_of(table, name, statement.place);
         if (!column) {
             return column.error();
         }
-        chosen.columns.push_back(name);
+        selected.columns.push_back(name);
         for (std::size_t row = 0; row < table.rows.size(); ++row) {
-            chosen.rows[row].push_back(table.rows[row][column.value()]);
+            selected.rows[row].push_back(table.rows[row][column.value()]);
         }
     }
-    return chosen;
+    return selected;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/entry/show_tables.hpp
+++ b/src/roles/entry/show_tables.hpp
@@ -10,17 +10,19 @@
 
 namespace wrenswitch {
 
-/// What a `show` answers: named columns and rows of texts, in a stable order.
+/// The result of a `show` statement: named columns and rows of text, in a stable order.
 struct show_table {
     std::vector<std::string> columns;
     std::vector<std::vector<std::string>> rows;
 };
 
-/// All rows of a noun, before any clause.
-show_table rows_of(const std::string& noun, const control_replica& control, home_desk& homes,
-                   std::uint32_t shards);
+/// Returns all rows of a noun, before any clause is applied. `shards` is the number of ledger
+/// shards; their replicas must be live for `budget` and `grant`.
+show_table make_show_table(const std::string& noun, const control_replica& control,
+                           allocator_service& allocators, std::uint32_t shards);
 
-/// Applies where, columns, order by and limit. An error names a column that does not exist.
-result<show_table> select_rows(show_table table, const command& statement);
+/// Applies the where, columns, order by and limit clauses. Fails if a clause names an unknown
+/// column.
+result<show_table> apply_clauses(show_table table, const command& statement);
 
 }  // namespace wrenswitch
