--- a/include/wrenswitch/roles/gateway.hpp
+++ b/include/wrenswitch/roles/gateway.hpp
@@ -23,126 +23,135 @@
 
 namespace wrenswitch {
 
-/// The names and formats in which a platform speaks to a gateway. It holds no decision: everything
-/// here is how something is called or written.
+/// Maps a platform's protocol to the gateway: header names, log names and the functions that parse
+/// and write its formats. It contains no policy.
 struct gateway_dialect {
-    /// Names of headers.
+    /// Names of HTTP headers. `key` carries the caller's API key, `account` the client account.
     std::string request_id;
     std::string deadline_ms;
     std::string key;
     std::string account;
     std::string expected_target;
     std::string last_event;
-    std::string urgency;
-    /// Names the address of another engine, from which a prompt's memory is copied.
+    std::string priority;
+    /// Carries the address of another engine from which a prompt's prefix cache is copied.
     std::string copy_from;
+    /// Set by a target that did not execute the request.
     std::string not_run;
+    /// Carries a target's load report.
     std::string load;
-    /// Headers that only the gateway may set: dropped from what callers send.
-    std::vector<std::string> set_by_gateway;
-    /// Headers that a proper request has once at the most.
-    std::vector<std::string> given_once;
-    /// Headers that are passed on even if a caller's Connection header names them.
-    std::vector<std::string> always_passed;
-    /// What a request says of its prompt. Without a prompt all is zero.
+    /// Headers that only the gateway may set. They are removed from callers' requests.
+    std::vector<std::string> reserved_headers;
+    /// Headers that a valid request has at most once.
+    std::vector<std::string> single_value_headers;
+    /// Headers that are forwarded even if a caller's Connection header lists them.
+    std::vector<std::string> always_forwarded_headers;
+    /// Parses the prompt's properties from a request's headers. All are zero without a prompt.
     std::function<result<prompt_profile>(const message_head&)> read_prompt;
-    /// What a target says of itself with an answer.
+    /// Parses the load and state that a target reports in the headers of a response.
     std::function<target_signals(const message_head&)> read_signals;
 
-    /// The keyed logs, and the key under which the configuration stands.
+    /// Names of the keyed logs, and the key of the configuration record.
     std::string configuration_log;
     std::string configuration_key;
     std::string target_log;
     std::string grant_log;
     std::string member_log;
-    /// The fleet's own log of roll-outs, and the one in which operators read where they stand.
+    /// The gateways' log of rollouts, and the log in which operators read rollout status.
     std::string rollout_log;
     std::string status_log;
-    /// The fleet's own log of targets that ended under requests.
+    /// The gateways' log of targets that crashed while executing requests.
     std::string suspect_log;
     std::function<result<gateway_configuration>(std::string_view)> read_configuration;
     std::function<result<listed_target>(std::string_view id, std::string_view value)> read_target;
-    /// The failure domain that the operator wants emptied while a record of the configuration's log
-    /// stands, by its key; nothing if the key means something else.
-    std::function<std::optional<std::string>(std::string_view key)> emptied_domain;
-    /// An error if such a record's value can't be read.
-    std::function<result<void>(std::string_view value)> read_emptied;
-    /// The service whose roll-out a record of the configuration's log orders, by its key; nothing
-    /// if the key means something else.
-    std::function<std::optional<std::string>(std::string_view key)> ordered_service;
-    /// An order from such a record, whose offset is its number.
+    /// The failure domain that the operator evacuates with a record of the configuration log,
+    /// taken from the record's key. The evacuation lasts as long as the record exists. Nothing if
+    /// the key does not denote an evacuation.
+    std::function<std::optional<std::string>(std::string_view key)> evacuated_domain;
+    /// Validates the value of an evacuation record. Returns an error if it cannot be parsed.
+    std::function<result<void>(std::string_view value)> read_evacuation;
+    /// The service whose rollout the operator orders with a record of the configuration log, taken
+    /// from the record's key. Nothing if the key does not denote a rollout.
+    std::function<std::optional<std::string>(std::string_view key)> rollout_service;
+    /// Parses the value of a rollout record. `number` is the record's offset and identifies the
+    /// order.
     std::function<result<rollout_order>(std::string_view service, std::string_view value,
                                         std::uint64_t number)>
         read_order;
-    /// The record of the status log that tells operators where a roll-out stands.
+    /// Makes the record of the status log that shows operators a rollout's state.
     std::function<keyed_record(const rollout_record& record)> write_status;
-    /// The keyed log behind a channel to the platform's service.
+    /// Opens the keyed log that is reached over a channel to the platform's service.
     std::function<std::unique_ptr<keyed_log>(service_channel&, const keyed_log_timeouts&)> make_log;
-    /// A cheap call that shows whether the service answers.
-    std::function<http_request()> probe;
-    /// The path at which the platform asks whether the gateway takes connections.
+    /// Makes a cheap request that checks whether the service responds.
+    std::function<http_request()> make_probe;
+    /// The path of the readiness check.
     std::string ready_path;
 };
 
-/// What a gateway is told in its settings file.
+/// The settings of a gateway, read from its settings file.
 struct gateway_settings {
     std::string host;
     std::string failure_domain;
-    /// The regions of the deployment's failure domains, this host's own among them. Without any,
-    /// requests that are bound to regions are refused.
+    /// The regions of the deployment's failure domains, including that of this host. If empty,
+    /// requests that are restricted to regions are refused.
     region_table regions;
-    /// What the way to another region and back is taken for until it is measured.
-    microseconds far_round_trip = milliseconds(40);
+    /// The assumed round-trip time to another region until one is measured.
+    microseconds remote_round_trip = milliseconds(40);
     http_address listen;
-    /// Where readiness and metrics are served.
+    /// The address that serves readiness and metrics.
     http_address admin;
-    /// A further port for metrics; zero if there is none.
+    /// An additional port for metrics; zero disables it.
     std::uint16_t metrics_port = 0;
     http_address service;
     message_bus_settings bus;
-    /// Where other entries reach this one, if that isn't the bus's own endpoint.
+    /// The endpoint at which other gateways reach this one. Empty if it is the bus endpoint.
     std::string member_endpoint;
-    /// The port at which a relay listens beside an engine's target; zero if there are none.
+    /// The port of the relay on each engine target's host; zero if no relays are deployed.
     std::uint16_t relay_port = 0;
-    /// What this process may use, in processor cores. Larger entries are homes of more accounts.
+    /// The CPU cores that this process may use. A gateway with more of them allocates the token
+    /// budgets of more accounts.
     double capacity = 1.0;
-    /// What this host's link carries each way; zero if that isn't known.
+    /// The capacity of this host's network link in each direction; zero if unknown.
     double link_bytes_per_second = 0.0;
-    /// How a planned stop goes.
+    /// The timing of a graceful shutdown.
     drain_plan drain;
-    /// The share of a service's requests that a version may get which isn't proved.
+    /// The share of a service's requests that may go to a version still under evaluation.
     double exposed_share = 0.1;
-    /// Retries as a share of first tries, for each service and over all entries, and the time over
-    /// which they are counted.
+    /// The retry budget of each service over all gateways, as a ratio of retries to first attempts,
+    /// and the window over which both are counted.
     double retry_share = 0.1;
     microseconds retry_window = seconds(10);
-    /// What may come beyond the share in a window, over all entries. No entry spends of it, since
-    /// none knows for certain with how many others it shares it: it is left for retries that are
-    /// held up on their way, and shown for alerts.
+    /// The number of retries by which all gateways together may exceed the budget in one window.
+    /// No gateway spends it, because none knows for certain how many others share it. It allows
+    /// for retries that are delayed in transit and is exported for alerts.
     double retry_slack = 20.0;
-    /// How long a request waits for tokens before it is refused.
+    /// How long a request waits for budget tokens before it is refused.
     microseconds token_wait = milliseconds(800);
-    /// The same, if the tokens would have to come from other hosts.
+    /// How long it waits if the tokens would have to come from other hosts.
     microseconds short_token_wait = milliseconds(120);
-    /// When a request that was refused for want of tokens may come back while the log is away.
-    microseconds until_log = seconds(2);
-    /// The shortest time in which an engine makes a token of one answer.
-    microseconds least_time_per_token = milliseconds(4);
-    /// The longest time that a token is planned for when a process is about to stop.
-    microseconds most_time_per_token = milliseconds(12);
+    /// The Retry-After of requests that are refused for lack of tokens while the log is
+    /// unavailable.
+    microseconds log_outage_retry_after = seconds(2);
+    /// The shortest time in which an engine generates one token of a response. Bounds the tokens
+    /// charged for output that an interrupted attempt may have produced unseen.
+    microseconds min_time_per_token = milliseconds(4);
+    /// The longest time per output token, assumed when deciding whether a request can finish before
+    /// a shutdown.
+    microseconds max_time_per_token = milliseconds(12);
     grant_policy_settings grants;
-    /// Requests whose lines are written each second: of those that were served, and as many of
-    /// those that failed.
+    /// The maximum number of requests logged per second. Served and failed requests are limited
+    /// separately.
     unsigned log_requests_per_second = 20;
-    /// The share of served requests that are told.
+    /// The percentage of served requests that are sampled for the log.
     unsigned log_served_percent = 5;
 };
 
-/// Reads a gateway's settings. Nothing if there are findings.
+/// Parses a gateway's settings from JSON. Returns nothing if there are findings.
 std::optional<gateway_settings> read_gateway_settings(std::string_view text, findings& problems);
 
-/// Runs a gateway until it is told to stop, by the settings in a file and with changes of it taken
-/// up while it runs. `text` is the file's present text. Returns the exit code.
+/// Runs a gateway until it receives a stop signal. Changes of the settings file at `path` are
+/// applied while it runs; `text` is the file's current content. Returns the exit code of the
+/// process.
 int run_gateway(const std::string& path, const std::string& text, const gateway_dialect& dialect);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/roles/guard.hpp
+++ b/include/wrenswitch/roles/guard.hpp
@@ -9,11 +9,12 @@
 
 struct guard_settings;
 
-/// Reads a guard's settings from JSON. All that is wrong is added to the findings.
+/// Parses a guard's settings from JSON. Every invalid setting is added to `problems`.
 std::shared_ptr<const guard_settings> read_guard_settings(std::string_view text,
                                                           findings& problems);
 
-/// Runs a guard until it is told to stop. Returns the process's exit code.
+/// Runs a guard, the proxy in front of one target, until it receives a stop signal and has drained.
+/// Returns the exit code of the process.
 int run_guard(const guard_settings& settings);
 
 }  // namespace wrenswitch
--- a/include/wrenswitch/roles/relay.hpp
+++ b/include/wrenswitch/roles/relay.hpp
@@ -9,20 +9,20 @@
 
 namespace wrenswitch {
 
-/// What a relay is told in its settings file.
+/// The settings of a relay, read from its settings file.
 struct relay_settings {
     std::string host;
     message_bus_settings bus;
-    /// The platform's service.
+    /// The address of the platform's service, to which calls are forwarded.
     http_address service;
 };
 
-/// Reads a relay's settings. Nothing if there are findings.
+/// Parses a relay's settings from JSON. Returns nothing if there are findings.
 std::optional<relay_settings> read_relay_settings(std::string_view text, findings& problems);
 
-/// Runs a relay until it is told to stop: it makes calls to the platform's service for peers that
-/// can't reach it themselves. It keeps nothing and decides nothing. Takes the settings file's path
-/// and present text. Returns the exit code.
+/// Runs a relay until it receives a stop signal. A relay is a stateless proxy that calls the
+/// platform's service on behalf of peers that cannot reach it themselves. `path` is the settings
+/// file and `text` its current content. Returns the exit code of the process.
 int run_relay(const std::string& path, const std::string& text);
 
 }  // namespace wrenswitch
--- a/src/roles/entry/entry.cpp
+++ b/src/roles/entry/entry.cpp
@@ -483,7 +483,7 @@
 
 void entry::drain(std::function<void()> done) {
     on_drained_ = std::move(done);
-    drain_deadline_ = monotonic_now() + settings_.process.longest_drain;
+    drain_deadline_ = monotonic_now() + settings_.process.max_drain;
     timeline_.add(timeline_kind::drain_started, "", {}, {}, "");
     log_event(log_level::information, "drain_started",
               {{"requests", std::to_string(handlers_.size())}});
--- a/src/roles/gateway/forwarded_answer.cpp
+++ b/src/roles/gateway/forwarded_answer.cpp
@@ -427,7 +427,7 @@
 void forwarded_request::charge_unobserved_output() {
     const instant now = monotonic_now();
     const microseconds silence = now - std::max(sent_at_, stream_timing_.last_event_at());
-    const tokens possible_tokens = silence / context_.settings.least_time_per_token;
+    const tokens possible_tokens = silence / context_.settings.min_time_per_token;
     charge_.charge_unobserved(now, possible_tokens + tokens_per_event() * unobserved_events);
 }
 
--- a/src/roles/gateway/forwarded_request.cpp
+++ b/src/roles/gateway/forwarded_request.cpp
@@ -123,7 +123,7 @@
     }
     const microseconds since = monotonic_now() - *context_.stopping_since;
     const microseconds output_time =
-        request_.prompt.max_output * context_.settings.most_time_per_token;
+        request_.prompt.max_output * context_.settings.max_time_per_token;
     const microseconds needed = std::min<microseconds>(
         admitted_.route.timeout,
         admitted_.engine ? engine_prefill_time + output_time : plain_response_time);
@@ -228,7 +228,8 @@
     }
     if (outcome == reserve_outcome::short_of_tokens) {
         refuse(status_unavailable, "short_of_tokens",
-               context_.grant_log_reachable() ? tokens_retry_after : context_.settings.until_log);
+               context_.grant_log_reachable() ? tokens_retry_after
+                                              : context_.settings.log_outage_retry_after);
         return;
     }
     charge_ = request_charge(context_.grants, admitted_.account, request_.prompt.prompt_tokens,
--- a/src/roles/gateway/gateway.cpp
+++ b/src/roles/gateway/gateway.cpp
@@ -41,7 +41,7 @@
     target_pool_settings pool;
     pool.failure_domain = settings.failure_domain;
     pool.regions = settings.regions;
-    pool.far_round_trip = settings.far_round_trip;
+    pool.far_round_trip = settings.remote_round_trip;
     pool.gateway_count = [&members] {
         // The directory contains this gateway's own record once it has been read. As long as it is
         // empty, the number is unknown.
@@ -62,7 +62,7 @@
 token_allocator_settings make_allocator_settings(const gateway_settings& settings) {
     token_allocator_settings allocators;
     allocators.own_region = settings.regions.region_of(settings.failure_domain);
-    allocators.remote_round_trip = settings.far_round_trip;
+    allocators.remote_round_trip = settings.remote_round_trip;
     return allocators;
 }
 
@@ -179,7 +179,7 @@
 void gateway::open_logs() {
     direct_channel_ = make_direct_channel(loop_, settings_.service, arrivals_);
     channel_ = std::make_unique<relayed_channel>(
-        loop_, *direct_channel_, *bus_, [this] { return relay_endpoints(); }, dialect_.probe,
+        loop_, *direct_channel_, *bus_, [this] { return relay_endpoints(); }, dialect_.make_probe,
         arrivals_, metrics_, relayed_channel_settings{});
     log_ = dialect_.make_log(*channel_, keyed_log_timeouts{});
     configuration_follower_ = std::make_unique<keyed_follower>(
@@ -414,7 +414,7 @@
 void gateway::apply_evacuation_record(const std::string& failure_domain,
                                       const keyed_record& record) {
     if (record.value) {
-        if (const result<void> read = dialect_.read_emptied(*record.value); !read) {
+        if (const result<void> read = dialect_.read_evacuation(*record.value); !read) {
             metrics_.counter("gateway_emptied_records_unreadable_total") += 1;
             log_event(log_level::error, "failure_domain_record_unreadable",
                       {{"failure_domain", failure_domain},
@@ -438,7 +438,7 @@
 }
 
 void gateway::configuration_changed(const keyed_record& record) {
-    if (const auto emptied = dialect_.emptied_domain(record.key)) {
+    if (const auto emptied = dialect_.evacuated_domain(record.key)) {
         apply_evacuation_record(*emptied, record);
         return;
     }
--- a/src/roles/gateway/gateway_rollouts.cpp
+++ b/src/roles/gateway/gateway_rollouts.cpp
@@ -36,7 +36,7 @@
 /// An unreadable order changes nothing; the previous one stays in force.
 bool gateway_rollouts::on_configuration_record(instant now, const keyed_record& record) {
     const std::optional<std::string> service =
-        dialect_.ordered_service ? dialect_.ordered_service(record.key) : std::nullopt;
+        dialect_.rollout_service ? dialect_.rollout_service(record.key) : std::nullopt;
     if (!service) {
         return false;
     }
--- a/src/roles/gateway/gateway_settings.cpp
+++ b/src/roles/gateway/gateway_settings.cpp
@@ -55,8 +55,8 @@
     settings.host = reader.text("host");
     settings.failure_domain = reader.text("failure_domain");
     settings.regions = read_regions(reader, settings.failure_domain, problems);
-    settings.far_round_trip =
-        read_ms(reader, "far_round_trip_ms", settings.far_round_trip, max_wait_ms);
+    settings.remote_round_trip =
+        read_ms(reader, "far_round_trip_ms", settings.remote_round_trip, max_wait_ms);
     settings.listen = read_address(reader, "listen", problems);
     settings.admin = read_address(reader, "admin", problems);
     settings.service = read_address(reader, "service", problems);
@@ -82,9 +82,9 @@
     settings.token_wait = read_ms(reader, "token_wait_ms", settings.token_wait, max_wait_ms);
     settings.short_token_wait =
         read_ms(reader, "short_token_wait_ms", settings.short_token_wait, max_wait_ms);
-    settings.least_time_per_token = std::max<microseconds>(
+    settings.min_time_per_token = std::max<microseconds>(
         milliseconds(1),
-        read_ms(reader, "least_ms_per_token", settings.least_time_per_token, max_wait_ms));
+        read_ms(reader, "least_ms_per_token", settings.min_time_per_token, max_wait_ms));
     settings.log_requests_per_second = static_cast<unsigned>(reader.integer_or(
         "log_requests_per_second", settings.log_requests_per_second, 0, max_log_lines));
     settings.log_served_percent = static_cast<unsigned>(
--- a/src/roles/gateway/incoming_request.cpp
+++ b/src/roles/gateway/incoming_request.cpp
@@ -22,7 +22,7 @@
 
 result<incoming_request> parse_incoming_request(const message_head& head,
                                                 const gateway_dialect& dialect) {
-    for (const std::string& name : dialect.given_once) {
+    for (const std::string& name : dialect.single_value_headers) {
         if (head.count(name) > 1) {
             return failed(error_code::bad_input, "The header " + name + " is repeated.");
         }
@@ -56,7 +56,7 @@
 std::vector<http_header> forwarded_request_headers(const message_head& head,
                                                    const gateway_dialect& dialect) {
     std::vector<http_header> headers = end_to_end_headers(head);
-    for (const std::string& name : dialect.always_passed) {
+    for (const std::string& name : dialect.always_forwarded_headers) {
         const bool is_present = std::any_of(
             headers.begin(), headers.end(),
             [&name](const auto& header) { return same_header_name(header.name, name); });
@@ -66,7 +66,7 @@
         }
     }
     std::erase_if(headers, [&dialect](const http_header& header) {
-        return is_one_of(header.name, dialect.set_by_gateway) ||
+        return is_one_of(header.name, dialect.reserved_headers) ||
                same_header_name(header.name, dialect.key) ||
                same_header_name(header.name, dialect.deadline_ms) ||
                same_header_name(header.name, dialect.last_event);
--- a/src/roles/gateway/target_request.cpp
+++ b/src/roles/gateway/target_request.cpp
@@ -30,7 +30,7 @@
         sent.headers.push_back({dialect.copy_from, std::string(copy_from)});
     }
     if (admitted.engine) {
-        sent.headers.push_back({dialect.urgency, std::to_string(admitted.priority)});
+        sent.headers.push_back({dialect.priority, std::to_string(admitted.priority)});
     }
     const std::string_view last_event_id = last_event.empty() ? request.last_event : last_event;
     if (!last_event_id.empty()) {
--- a/src/roles/guard/charge_reporter.hpp
+++ b/src/roles/guard/charge_reporter.hpp
@@ -11,36 +11,38 @@
 
 namespace wrenswitch {
 
-/// Tells homes what their tickets cost, until they acknowledge it, and marks fences. A charge whose
-/// holder is gone goes to any entry, and so does a mark: to one of the guard's own failure domain
-/// if there is one.
+/// Reports the charges of finished attempts to the holders of their tickets until they are
+/// acknowledged, and acknowledges fences. Charges of inactive holders and fence acknowledgements go
+/// to any active entry, preferably one in the guard's own failure domain.
 class charge_reporter {
 public:
-    /// All must outlive the reporter; `own` follows the guard's incarnation.
-    charge_reporter(message_bus& bus, const control_state& control, charge_tracker& book,
-                    random_source& random, const incarnation_id& own, std::string failure_domain);
+    /// All references must outlive the reporter. `incarnation` is read at each send, since it
+    /// changes when the guard registers.
+    charge_reporter(message_bus& bus, const control_state& control, charge_tracker& charges,
+                    random_source& random, const incarnation_id& incarnation,
+                    std::string failure_domain);
 
-    /// Remembers where a ticket's holder takes its charge.
-    void expect(const ticket& used);
+    /// Stores the endpoint to which the ticket's charge is reported.
+    void record_holder(const ticket& accepted);
 
-    /// Nothing is owed for the ticket any more.
-    void forget(ticket_id id) { holder_endpoints_.erase(id); }
+    /// Drops the ticket's endpoint: it has no charge, or the charge is acknowledged.
+    void forget_holder(ticket_id id) { holder_endpoints_.erase(id); }
 
-    /// Reports what is due.
-    void report(instant now);
+    /// Reports the charges that are new or whose acknowledgement is overdue.
+    void send_due_reports(instant now);
 
-    /// Sends the mark for each fence that waits for this guard's.
-    void send_marks();
+    /// Acknowledges each fence that waits for this guard, with the charges of the fenced holder.
+    void send_fence_acks();
 
 private:
-    std::string home_of(const charge& owed) const;
-    std::string any_entry() const;
+    std::string report_endpoint(const charge& unreported) const;
+    std::string random_entry_endpoint() const;
 
     message_bus& bus_;
     const control_state& control_;
-    charge_tracker& book_;
+    charge_tracker& charges_;
     random_source& random_;
-    const incarnation_id& own_;
+    const incarnation_id& incarnation_;
     std::string failure_domain_;
     std::unordered_map<ticket_id, std::string> holder_endpoints_;
 };
--- a/src/roles/guard/guard.cpp
+++ b/src/roles/guard/guard.cpp
@@ -13,12 +13,13 @@
 constexpr microseconds charge_period = milliseconds(20);
 constexpr microseconds load_period = milliseconds(100);
 
-/// How long a dispatch waits for records of the control stream that it depends on.
-constexpr microseconds early_patience = milliseconds(800);
+/// How long a dispatch waits for the control records that it depends on.
+constexpr microseconds deferral_timeout = milliseconds(800);
 
-/// After this many failures in a row a target is left alone for a while.
+/// The number of consecutive failures after which dispatches to the target are refused for
+/// `target_down_duration`.
 constexpr unsigned failures_until_down = 3;
-constexpr microseconds down_time = seconds(2);
+constexpr microseconds target_down_duration = seconds(2);
 
 }  // namespace
 
@@ -27,7 +28,7 @@
       settings_(settings),
       timeline_(settings.process.timeline_events),
       queue_(settings.admission),
-      answers_(settings.answers),
+      responses_(settings.responses),
       target_(loop, settings.target),
       target_load_(loop, target_) {}
 
@@ -38,8 +39,8 @@
         return bus.error();
     }
     bus_ = std::move(bus.value());
-    replies_ = std::make_unique<guard_replies>(
-        *bus_, own_, [this] { return load(); }, metrics_, timeline_);
+    replies_ = std::make_unique<guard_reply_sender>(
+        *bus_, incarnation_, [this] { return load_report(); }, metrics_, timeline_);
     bus_->on_message([this](const message_origin& origin, const wire::Envelope& message) {
         on_message(origin, message);
     });
@@ -64,12 +65,14 @@
     hooks.restored = [] {};
     control_ = std::make_unique<control_replica>(loop_, *log_, settings_.process.snapshot_records,
                                                  random_, metrics_, std::move(hooks));
-    book_ = std::make_unique<charge_tracker>(own_, control_->state());
-    charges_ = std::make_unique<charge_reporter>(*bus_, control_->state(), *book_, random_, own_,
-                                                 settings_.process.failure_domain);
+    charge_tracker_ = std::make_unique<charge_tracker>(incarnation_, control_->state());
+    charge_reporter_ =
+        std::make_unique<charge_reporter>(*bus_, control_->state(), *charge_tracker_, random_,
+                                          incarnation_, settings_.process.failure_domain);
     control_->start();
     tick_ = loop_.call_every(tick_period, [this] { tick(); });
-    charge_timer_ = loop_.call_every(charge_period, [this] { charges_->report(monotonic_now()); });
+    charge_timer_ = loop_.call_every(
+        charge_period, [this] { charge_reporter_->send_due_reports(monotonic_now()); });
     load_timer_ = loop_.call_every(load_period, [this] { target_load_.poll(); });
     log_event(log_level::information, "listening",
               {{"bus", bus_->endpoint()}, {"operator_port", std::to_string(server_->port())}});
@@ -77,9 +80,9 @@
 }
 
 void guard::register_self() {
-    own_ = random_.next_id<incarnation_id>();
-    book_->set_incarnation(own_);
-    control_->set_writer(own_);
+    incarnation_ = random_.next_id<incarnation_id>();
+    charge_tracker_->set_incarnation(incarnation_);
+    control_->set_writer(incarnation_);
     registration self;
     self.role = member_role::guard;
     self.host = settings_.process.host;
@@ -93,36 +96,37 @@
 }
 
 void guard::on_control_caught_up() {
-    if (!registering_ && !active_ && !closing_) {
+    if (!registering_ && !active_ && !close_submitted_) {
         register_self();
         return;
     }
-    retry_early();
+    retry_deferred();
 }
 
 void guard::on_control_applied(const control_record& record, const control_effect& effect) {
     if (!effect.applied) {
         return;
     }
-    const bool own_registration = registering_ && record.writer == own_ &&
+    const bool own_registration = registering_ && record.writer == incarnation_ &&
                                   std::holds_alternative<register_record>(record.kind);
     if (own_registration) {
-        // Every fence that came before this record has been read, so work may begin.
+        // Every fence that precedes this record has been read, so attempts may be accepted.
         registering_ = false;
         active_ = true;
-        log_event(log_level::information, "guard_active",
-                  {{"incarnation", std::to_string(raw(own_))}, {"service", settings_.service}});
+        log_event(
+            log_level::information, "guard_active",
+            {{"incarnation", std::to_string(raw(incarnation_))}, {"service", settings_.service}});
     }
     if (const auto* fence = std::get_if<fence_record>(&record.kind)) {
         timeline_.add(timeline_kind::fence_applied, "", {}, {},
                       std::to_string(raw(fence->incarnation)));
-        if (fence->incarnation == own_ && active_) {
+        if (fence->incarnation == incarnation_ && active_) {
             log_event(log_level::warning, "guard_fenced",
-                      {{"incarnation", std::to_string(raw(own_))}});
+                      {{"incarnation", std::to_string(raw(incarnation_))}});
             active_ = false;
             return;
         }
-        charges_->send_marks();
+        charge_reporter_->send_fence_acks();
     }
     const service* configured = control_->state().config().find_service(settings_.service);
     if (configured != nullptr && configured->concurrency > 0) {
@@ -133,23 +137,24 @@
 void guard::tick() {
     const instant now = monotonic_now();
     control_->tick(now);
-    answers_.expire(now);
-    charges_->send_marks();
+    responses_.expire(now);
+    charge_reporter_->send_fence_acks();
     for (const queued_request& item : queue_.remove_unmeetable(now, microseconds(0))) {
         refuse_queued(item, refusal_reason::deadline);
     }
-    retry_early();
+    retry_deferred();
     const bool drained_by_operator =
         control_->state().config().drained_hosts().count(settings_.process.host) > 0;
-    if (drained_by_operator && !leaving_) {
+    if (drained_by_operator && !draining_) {
         log_event(log_level::information, "host_drained_by_operator", {});
     }
-    leaving_ = drained_by_operator || drained_ != nullptr;
-    metrics_.gauge("guard_running") = static_cast<double>(book_->running_count());
+    draining_ = drained_by_operator || on_drained_ != nullptr;
+    metrics_.gauge("guard_running") = static_cast<double>(charge_tracker_->running_count());
     metrics_.gauge("guard_queued") = static_cast<double>(queue_.size());
     metrics_.gauge("guard_limit") = limiter_->limit();
-    metrics_.gauge("guard_unsettled_charges") = static_cast<double>(book_->unsettled_count());
-    metrics_.gauge("guard_answer_buffer_bytes") = static_cast<double>(answers_.bytes());
+    metrics_.gauge("guard_unsettled_charges") =
+        static_cast<double>(charge_tracker_->unsettled_count());
+    metrics_.gauge("guard_answer_buffer_bytes") = static_cast<double>(responses_.bytes());
     metrics_.gauge("guard_control_offset") = static_cast<double>(raw(control_->position()));
     finish_drain_if_idle();
 }
@@ -179,8 +184,8 @@
     }
 }
 
-refusal_reason guard::reason_against(const wire::Dispatch& dispatch) const {
-    if (leaving_) {
+refusal_reason guard::check_dispatch(const wire::Dispatch& dispatch) const {
+    if (draining_) {
         return refusal_reason::leaving;
     }
     if (!active_) {
@@ -192,7 +197,7 @@
     if (monotonic_now() < target_down_until_) {
         return refusal_reason::target_down;
     }
-    return book_->check_ticket(decode_ticket(dispatch.ticket()), control_->position());
+    return charge_tracker_->check_ticket(decode_ticket(dispatch.ticket()), control_->position());
 }
 
 void guard::on_dispatch(const message_origin& origin, const wire::Dispatch& dispatch) {
@@ -200,37 +205,38 @@
     if (attempts_.count(attempt_id{dispatch.attempt()}) > 0) {
         return;
     }
-    const refusal_reason reason = reason_against(dispatch);
+    const refusal_reason reason = check_dispatch(dispatch);
     if (reason == refusal_reason::behind && active_) {
-        early_.push_back({origin, dispatch, monotonic_now() + early_patience});
+        deferred_.push_back({origin, dispatch, monotonic_now() + deferral_timeout});
         return;
     }
     if (reason != refusal_reason::none) {
-        replies_->refuse({origin, dispatch.request(), attempt_id{dispatch.attempt()}}, reason);
+        replies_->send_refused({origin, dispatch.request(), attempt_id{dispatch.attempt()}},
+                               reason);
         return;
     }
-    take_in(origin, dispatch);
+    enqueue(origin, dispatch);
 }
 
-void guard::retry_early() {
+void guard::retry_deferred() {
     const instant now = monotonic_now();
-    std::deque<early_dispatch> waiting;
-    waiting.swap(early_);
-    for (early_dispatch& item : waiting) {
-        const refusal_reason reason = reason_against(item.dispatch);
-        if (reason == refusal_reason::behind && item.until > now) {
-            early_.push_back(std::move(item));
+    std::deque<deferred_dispatch> waiting;
+    waiting.swap(deferred_);
+    for (deferred_dispatch& item : waiting) {
+        const refusal_reason reason = check_dispatch(item.dispatch);
+        if (reason == refusal_reason::behind && item.give_up_at > now) {
+            deferred_.push_back(std::move(item));
         } else if (reason != refusal_reason::none) {
-            replies_->refuse(
+            replies_->send_refused(
                 {item.origin, item.dispatch.request(), attempt_id{item.dispatch.attempt()}},
                 reason);
         } else {
-            take_in(item.origin, item.dispatch);
+            enqueue(item.origin, item.dispatch);
         }
     }
 }
 
-void guard::take_in(const message_origin& origin, const wire::Dispatch& dispatch) {
+void guard::enqueue(const message_origin& origin, const wire::Dispatch& dispatch) {
     const attempt_id id{dispatch.attempt()};
     const instant now = monotonic_now();
     queued_request request;
@@ -243,29 +249,29 @@
 
     attempt_state state;
     state.dispatch = dispatch;
-    state.used = decode_ticket(dispatch.ticket());
+    state.attempt_ticket = decode_ticket(dispatch.ticket());
     state.listeners.push_back({origin, dispatch.request(), id});
-    state.request_name = std::to_string(dispatch.request());
+    state.request_id = std::to_string(dispatch.request());
 
     std::optional<queued_request> evicted;
     const refusal_reason reason = queue_.push(request, evicted);
     if (reason != refusal_reason::none) {
-        replies_->refuse({origin, dispatch.request(), id}, reason);
+        replies_->send_refused({origin, dispatch.request(), id}, reason);
         return;
     }
     attempts_.emplace(id, std::move(state));
     if (evicted) {
         refuse_queued(*evicted, refusal_reason::queue_full);
     }
-    pump();
+    start_queued_attempts();
     const auto waiting = attempts_.find(id);
     if (waiting != attempts_.end() && !waiting->second.started) {
-        replies_->accept(waiting->second.listeners.front(), false);
+        replies_->send_accepted(waiting->second.listeners.front(), false);
     }
 }
 
-void guard::pump() {
-    while (queue_.size() > 0 && book_->running_count() < limiter_->limit()) {
+void guard::start_queued_attempts() {
+    while (queue_.size() > 0 && charge_tracker_->running_count() < limiter_->limit()) {
         const instant now = monotonic_now();
         const auto next = queue_.pop(now);
         if (next->deadline <= now) {
@@ -279,23 +285,24 @@
 void guard::start_attempt(const queued_request& next) {
     attempt_state& state = attempts_.at(next.attempt);
     const refusal_reason reason =
-        active_ ? book_->begin_charge(state.used, control_->position()) : refusal_reason::fenced;
+        active_ ? charge_tracker_->begin_charge(state.attempt_ticket, control_->position())
+                : refusal_reason::fenced;
     if (reason != refusal_reason::none) {
         refuse_queued(next, reason);
         return;
     }
     state.started = true;
-    charges_->expect(state.used);
+    charge_reporter_->record_holder(state.attempt_ticket);
     metrics_.counter("guard_started_total") += 1;
     metrics_.quantiles("guard_queue_seconds")
         .observe(as_seconds(monotonic_now() - next.arrived_at));
-    timeline_.add(timeline_kind::attempt_started, state.request_name, next.attempt, state.used.id,
-                  state.dispatch.client_account());
+    timeline_.add(timeline_kind::attempt_started, state.request_id, next.attempt,
+                  state.attempt_ticket.id, state.dispatch.client_account());
     if (state.dispatch.keep_answer()) {
-        answers_.begin(state.used.key);
-        running_keys_[state.used.key] = next.attempt;
+        responses_.begin(state.attempt_ticket.key);
+        running_attempts_by_key_[state.attempt_ticket.key] = next.attempt;
     }
-    replies_->accept(state.listeners.front(), true);
+    replies_->send_accepted(state.listeners.front(), true);
 
     target_request request;
     request.method = state.dispatch.method();
@@ -303,16 +310,18 @@
     request.content_type = state.dispatch.content_type();
     request.body = state.dispatch.body();
     request.client_account = state.dispatch.client_account();
-    request.key = state.used.key.to_hex();
+    request.key = state.attempt_ticket.key.to_hex();
     request.priority = state.dispatch.priority();
-    request.model = state.dispatch.model();
-    request.bound = state.used.bound;
+    request.is_model = state.dispatch.model();
+    request.token_bound = state.attempt_ticket.bound;
     request.fixed_cost = state.dispatch.fixed_cost();
     const attempt_id id = next.attempt;
     target_call_hooks hooks;
-    hooks.head = [this, id](unsigned status, std::string_view type) { on_head(id, status, type); };
-    hooks.piece = [this, id](std::string_view piece) { on_piece(id, piece); };
-    hooks.end = [this, id](const target_end& end) { on_end(id, end); };
+    hooks.on_head = [this, id](unsigned status, std::string_view type) {
+        on_head(id, status, type);
+    };
+    hooks.on_chunk = [this, id](std::string_view chunk) { on_chunk(id, chunk); };
+    hooks.on_end = [this, id](const target_call_result& call_result) { on_end(id, call_result); };
     state.call = std::make_unique<target_call>(target_, request, std::move(hooks));
 }
 
@@ -320,100 +329,103 @@
     attempt_state& state = attempts_.at(id);
     state.status = status;
     state.content_type = content_type;
-    answers_.set_head(state.used.key, status, content_type);
+    responses_.set_head(state.attempt_ticket.key, status, content_type);
 }
 
-void guard::on_piece(attempt_id id, std::string_view piece) {
+void guard::on_chunk(attempt_id id, std::string_view chunk) {
     attempt_state& state = attempts_.at(id);
     if (state.dispatch.keep_answer()) {
-        answers_.append(state.used.key, piece);
+        responses_.append(state.attempt_ticket.key, chunk);
     }
     const std::uint32_t index = state.next_chunk++;
-    for (const answer_listener& to : state.listeners) {
-        replies_->send_chunk(to, index, state.status, state.content_type, piece);
+    for (const response_listener& to : state.listeners) {
+        replies_->send_chunk(to, index, state.status, state.content_type, chunk);
     }
 }
 
-void guard::on_end(attempt_id id, const target_end& end) {
+void guard::on_end(attempt_id id, const target_call_result& call_result) {
     attempt_state state = std::move(attempts_.at(id));
     attempts_.erase(id);
-    // The call is still on the stack.
+    // The callback is running inside the call, so the call is destroyed later.
     loop_.call_after(microseconds(0),
                      [call = std::shared_ptr<target_call>(std::move(state.call))] {});
-    running_keys_.erase(state.used.key);
+    running_attempts_by_key_.erase(state.attempt_ticket.key);
     const instant now = monotonic_now();
 
     limiter_sample sample;
     sample.now = now;
-    sample.time_to_first_token = end.first_token;
-    sample.inter_token_latency = end.between_tokens;
-    sample.in_flight = static_cast<unsigned>(book_->running_count());
-    sample.failed = end.not_run || !end.whole;
-    sample.reported_batch = target_load_.last().batch;
-    sample.reported_queue = target_load_.last().queue;
-    sample.reported_memory = target_load_.last().memory;
+    sample.time_to_first_token = call_result.time_to_first_token;
+    sample.inter_token_latency = call_result.inter_token_latency;
+    sample.in_flight = static_cast<unsigned>(charge_tracker_->running_count());
+    sample.failed = call_result.not_run || !call_result.complete;
+    sample.reported_batch = target_load_.latest().batch;
+    sample.reported_queue = target_load_.latest().queue;
+    sample.reported_memory = target_load_.latest().memory;
     limiter_->observe(sample);
 
     target_failures_ = sample.failed ? target_failures_ + 1 : 0;
     if (target_failures_ == failures_until_down) {
-        target_down_until_ = now + down_time;
+        target_down_until_ = now + target_down_duration;
         target_failures_ = 0;
         log_event(log_level::warning, "target_down", {{"target", settings_.target.to_text()}});
     }
-    if (end.not_run) {
-        book_->cancel_charge(state.used.id);
-        charges_->forget(state.used.id);
-        answers_.discard(state.used.key);
+    if (call_result.not_run) {
+        charge_tracker_->cancel_charge(state.attempt_ticket.id);
+        charge_reporter_->forget_holder(state.attempt_ticket.id);
+        responses_.discard(state.attempt_ticket.key);
         metrics_.counter("guard_not_run_total") += 1;
-        for (const answer_listener& to : state.listeners) {
-            replies_->refuse(to, refusal_reason::target_down);
+        for (const response_listener& to : state.listeners) {
+            replies_->send_refused(to, refusal_reason::target_down);
         }
-        pump();
+        start_queued_attempts();
         return;
     }
-    const tokens excess = book_->finish_charge(state.used.id, end.cost);
+    const tokens excess = charge_tracker_->finish_charge(state.attempt_ticket.id, call_result.cost);
     if (excess > 0) {
         metrics_.counter("guard_tokens_beyond_bound_total") += static_cast<std::uint64_t>(excess);
         log_event(log_level::error, "target_exceeded_bound",
                   {{"target", settings_.target.to_text()}, {"tokens", std::to_string(excess)}});
     }
-    answers_.finish(state.used.key, now, end.whole, end.cost);
-    metrics_.counter(end.whole ? "guard_ended_total" : "guard_cut_total") += 1;
+    responses_.finish(state.attempt_ticket.key, now, call_result.complete, call_result.cost);
+    metrics_.counter(call_result.complete ? "guard_ended_total" : "guard_cut_total") += 1;
     metrics_.counter("guard_tokens_total") +=
-        static_cast<std::uint64_t>(std::max<tokens>(end.cost, 0));
-    metrics_.quantiles("guard_first_token_seconds").observe(as_seconds(end.first_token));
-    metrics_.quantiles("guard_between_tokens_seconds").observe(as_seconds(end.between_tokens));
-    timeline_.add(timeline_kind::attempt_ended, state.request_name, id, state.used.id,
-                  std::to_string(end.cost) + (end.whole ? " tokens" : " tokens, cut"));
-    for (const answer_listener& to : state.listeners) {
-        replies_->send_end(to, state.next_chunk, end.whole, end.cost);
-    }
-    pump();
+        static_cast<std::uint64_t>(std::max<tokens>(call_result.cost, 0));
+    metrics_.quantiles("guard_first_token_seconds")
+        .observe(as_seconds(call_result.time_to_first_token));
+    metrics_.quantiles("guard_between_tokens_seconds")
+        .observe(as_seconds(call_result.inter_token_latency));
+    timeline_.add(
+        timeline_kind::attempt_ended, state.request_id, id, state.attempt_ticket.id,
+        std::to_string(call_result.cost) + (call_result.complete ? " tokens" : " tokens, cut"));
+    for (const response_listener& to : state.listeners) {
+        replies_->send_end(to, state.next_chunk, call_result.complete, call_result.cost);
+    }
+    start_queued_attempts();
 }
 
 void guard::on_join(const message_origin& origin, const wire::Join& join) {
     const digest key{join.key_high(), join.key_low()};
-    const answer_listener to{origin, join.request(), attempt_id{}};
-    const buffered_response* kept = answers_.find(key);
-    if (kept == nullptr) {
-        replies_->refuse(to, refusal_reason::no_answer_kept);
+    const response_listener to{origin, join.request(), attempt_id{}};
+    const buffered_response* buffered = responses_.find(key);
+    if (buffered == nullptr) {
+        replies_->send_refused(to, refusal_reason::no_answer_kept);
         return;
     }
     metrics_.counter("guard_joins_total") += 1;
-    replies_->accept(to, true);
+    replies_->send_accepted(to, true);
     std::uint32_t index = 0;
-    for (const std::string& chunk : kept->chunks) {
+    for (const std::string& chunk : buffered->chunks) {
         if (index >= join.from_chunk()) {
-            replies_->send_chunk(to, index, kept->status, kept->content_type, chunk);
+            replies_->send_chunk(to, index, buffered->status, buffered->content_type, chunk);
         }
         ++index;
     }
-    if (kept->finished) {
-        replies_->send_end(to, index, kept->complete, kept->cost);
+    if (buffered->finished) {
+        replies_->send_end(to, index, buffered->complete, buffered->cost);
         return;
     }
-    const auto running = running_keys_.find(key);
-    if (running != running_keys_.end()) {
+    const auto running = running_attempts_by_key_.find(key);
+    if (running != running_attempts_by_key_.end()) {
         attempts_.at(running->second).listeners.push_back(to);
     }
 }
@@ -428,64 +440,65 @@
         refuse_queued({id, {}, 0, 0, {}, {}}, refusal_reason::cancelled);
         return;
     }
-    // It runs to its end: what it costs is then known exactly, and a repeat can have the answer.
+    // The attempt runs to completion: its cost is then known exactly, and a repeated request can
+    // receive its response.
     std::erase_if(found->second.listeners,
-                  [id](const answer_listener& to) { return to.attempt == id; });
+                  [id](const response_listener& to) { return to.attempt == id; });
 }
 
 void guard::on_void(const message_origin& origin, const wire::VoidRequest& request) {
-    wire::Envelope answer;
-    answer.set_sender(raw(own_));
-    wire::VoidReply& reply = *answer.mutable_void_reply();
-    reply.set_guard(raw(own_));
+    wire::Envelope reply_message;
+    reply_message.set_sender(raw(incarnation_));
+    wire::VoidReply& reply = *reply_message.mutable_void_reply();
+    reply.set_guard(raw(incarnation_));
     for (const std::uint64_t number : request.tickets()) {
         const ticket_id id{number};
         const bool queued = std::any_of(attempts_.begin(), attempts_.end(), [id](const auto& item) {
-            return item.second.used.id == id && !item.second.started;
+            return item.second.attempt_ticket.id == id && !item.second.started;
         });
         if (queued) {
-            const auto waiting =
-                std::find_if(attempts_.begin(), attempts_.end(),
-                             [id](const auto& item) { return item.second.used.id == id; });
+            const auto waiting = std::find_if(
+                attempts_.begin(), attempts_.end(),
+                [id](const auto& item) { return item.second.attempt_ticket.id == id; });
             const attempt_id attempt = waiting->first;
             queue_.remove(attempt);
             attempts_.erase(waiting);
         }
-        if (book_->void_ticket(id, incarnation_id{request.home()})) {
+        if (charge_tracker_->void_ticket(id, incarnation_id{request.home()})) {
             reply.add_voided(number);
             timeline_.add(timeline_kind::attempt_voided, "", {}, id, "");
         } else {
             reply.add_started(number);
         }
     }
-    bus_->answer(origin, answer);
+    bus_->answer(origin, reply_message);
 }
 
 void guard::on_charge_ack(const wire::ChargeAck& ack) {
     for (const std::uint64_t ticket : ack.tickets()) {
-        book_->acknowledge_charge(ticket_id{ticket});
-        charges_->forget(ticket_id{ticket});
+        charge_tracker_->acknowledge_charge(ticket_id{ticket});
+        charge_reporter_->forget_holder(ticket_id{ticket});
     }
     finish_drain_if_idle();
 }
 
 void guard::on_ping(const message_origin& origin, const wire::Ping&) {
-    wire::Envelope answer;
-    answer.set_sender(raw(own_));
-    wire::Pong& pong = *answer.mutable_pong();
-    pong.set_sender(raw(own_));
+    wire::Envelope reply_message;
+    reply_message.set_sender(raw(incarnation_));
+    wire::Pong& pong = *reply_message.mutable_pong();
+    pong.set_sender(raw(incarnation_));
     pong.set_control_offset(raw(control_->position()));
-    *pong.mutable_load() = load();
-    bus_->answer(origin, answer);
+    *pong.mutable_load() = load_report();
+    bus_->answer(origin, reply_message);
 }
 
-wire::LoadReport guard::load() const {
+wire::LoadReport guard::load_report() const {
     wire::LoadReport report;
-    report.set_guard(raw(own_));
-    report.set_running(static_cast<std::uint32_t>(book_->running_count()));
+    report.set_guard(raw(incarnation_));
+    report.set_running(static_cast<std::uint32_t>(charge_tracker_->running_count()));
     report.set_queued(static_cast<std::uint32_t>(queue_.size()));
     report.set_limit(limiter_->limit());
-    report.set_leaving(leaving_);
+    report.set_leaving(draining_);
     report.set_control_offset(raw(control_->position()));
     return report;
 }
@@ -497,18 +510,18 @@
     }
     const attempt_state state = std::move(found->second);
     attempts_.erase(found);
-    for (const answer_listener& to : state.listeners) {
-        replies_->refuse(to, reason);
+    for (const response_listener& to : state.listeners) {
+        replies_->send_refused(to, reason);
     }
 }
 
 void guard::drain(std::function<void()> done) {
-    drained_ = std::move(done);
-    leaving_ = true;
-    drain_until_ = monotonic_now() + settings_.process.longest_drain;
+    on_drained_ = std::move(done);
+    draining_ = true;
+    drain_until_ = monotonic_now() + settings_.process.max_drain;
     timeline_.add(timeline_kind::drain_started, "", {}, {}, "");
     log_event(log_level::information, "drain_started",
-              {{"running", std::to_string(book_->running_count())},
+              {{"running", std::to_string(charge_tracker_->running_count())},
                {"queued", std::to_string(queue_.size())}});
     for (const queued_request& item : queue_.remove_all()) {
         refuse_queued(item, refusal_reason::leaving);
@@ -517,33 +530,34 @@
 }
 
 void guard::finish_drain_if_idle() {
-    if (drained_ == nullptr) {
+    if (on_drained_ == nullptr) {
         return;
     }
-    const bool settled = book_->running_count() == 0 && book_->unsettled_count() == 0;
-    if (settled && active_ && !closing_) {
-        // The last record: it counts as this guard's mark for all later fences.
-        closing_ = true;
+    const bool settled =
+        charge_tracker_->running_count() == 0 && charge_tracker_->unsettled_count() == 0;
+    if (settled && active_ && !close_submitted_) {
+        // The close record is the last one; it also acknowledges all later fences for this guard.
+        close_submitted_ = true;
         control_->submit(close_record{});
         return;
     }
-    const bool closed = closing_ && control_->idle();
+    const bool closed = close_submitted_ && control_->idle();
     const bool never_active = !active_ && !registering_ && settled;
     if (!closed && !never_active && monotonic_now() < drain_until_) {
         return;
     }
     log_event(log_level::information, "drain_ended",
               {{"closed", closed ? "yes" : "no"},
-               {"running", std::to_string(book_->running_count())},
-               {"unsettled", std::to_string(book_->unsettled_count())}});
-    const auto done = std::exchange(drained_, nullptr);
+               {"running", std::to_string(charge_tracker_->running_count())},
+               {"unsettled", std::to_string(charge_tracker_->unsettled_count())}});
+    const auto done = std::exchange(on_drained_, nullptr);
     done();
 }
 
 void guard::handle_http(const http_exchange_pointer& exchange) {
     const http_header json_type{"Content-Type", "application/json"};
     if (exchange->path() == "/healthz") {
-        const bool ready = active_ && !leaving_;
+        const bool ready = active_ && !draining_;
         exchange->reply(ready ? 200 : 503, {json_type},
                         ready ? R"({"ready":true})" : R"({"ready":false})");
     } else if (exchange->path() == "/metrics") {
--- a/src/roles/guard/guard.hpp
+++ b/src/roles/guard/guard.hpp
@@ -24,24 +24,27 @@
 
 namespace wrenswitch {
 
-/// The process beside a target: the only way to it.
+/// The proxy in front of a target, which receives no requests by any other path. It checks tickets,
+/// queues attempts, limits concurrency, runs them on the target and reports their charges.
 class guard {
 public:
     guard(event_loop& loop, const guard_settings& settings);
 
-    /// Binds and begins to read the control stream. An error if an address is taken.
+    /// Binds the listeners and starts to read the control stream. Returns an error if an address
+    /// cannot be bound.
     result<void> start();
 
-    /// Takes no new work; calls the hook once all is ended and reported, or time is up.
+    /// Refuses new and queued attempts. Calls `done` once the running ones have ended and their
+    /// charges are acknowledged, or after the drain timeout.
     void drain(std::function<void()> done);
 
 private:
-    /// An attempt that waits or runs.
+    /// An attempt that is queued or running.
     struct attempt_state {
         wire::Dispatch dispatch;
-        ticket used;
-        std::vector<answer_listener> listeners;
-        std::string request_name;
+        ticket attempt_ticket;
+        std::vector<response_listener> listeners;
+        std::string request_id;
         std::unique_ptr<target_call> call;
         unsigned status = 0;
         std::string content_type;
@@ -49,36 +52,36 @@
         bool started = false;
     };
 
-    /// A dispatch that came before the records it depends on.
-    struct early_dispatch {
+    /// A dispatch that arrived before the control records that it depends on.
+    struct deferred_dispatch {
         message_origin origin;
         wire::Dispatch dispatch;
-        instant until{};
+        instant give_up_at{};
     };
 
     void on_message(const message_origin& origin, const wire::Envelope& message);
     void on_dispatch(const message_origin& origin, const wire::Dispatch& dispatch);
-    void take_in(const message_origin& origin, const wire::Dispatch& dispatch);
-    refusal_reason reason_against(const wire::Dispatch& dispatch) const;
+    void enqueue(const message_origin& origin, const wire::Dispatch& dispatch);
+    refusal_reason check_dispatch(const wire::Dispatch& dispatch) const;
     void on_join(const message_origin& origin, const wire::Join& join);
     void on_cancel(const wire::Cancel& cancel);
     void on_void(const message_origin& origin, const wire::VoidRequest& request);
     void on_charge_ack(const wire::ChargeAck& ack);
     void on_ping(const message_origin& origin, const wire::Ping& ping);
 
-    void pump();
+    void start_queued_attempts();
     void start_attempt(const queued_request& next);
     void on_head(attempt_id id, unsigned status, std::string_view content_type);
-    void on_piece(attempt_id id, std::string_view piece);
-    void on_end(attempt_id id, const target_end& end);
+    void on_chunk(attempt_id id, std::string_view chunk);
+    void on_end(attempt_id id, const target_call_result& call_result);
     void refuse_queued(const queued_request& item, refusal_reason reason);
-    wire::LoadReport load() const;
+    wire::LoadReport load_report() const;
 
     void on_control_applied(const control_record& record, const control_effect& effect);
     void on_control_caught_up();
     void register_self();
     void tick();
-    void retry_early();
+    void retry_deferred();
     void finish_drain_if_idle();
     void handle_http(const http_exchange_pointer& exchange);
 
@@ -89,27 +92,27 @@
     timeline timeline_;
     std::unique_ptr<log_service> log_;
     std::unique_ptr<message_bus> bus_;
-    std::unique_ptr<guard_replies> replies_;
+    std::unique_ptr<guard_reply_sender> replies_;
     std::unique_ptr<http_server> server_;
     std::unique_ptr<control_replica> control_;
-    std::unique_ptr<charge_tracker> book_;
-    std::unique_ptr<charge_reporter> charges_;
+    std::unique_ptr<charge_tracker> charge_tracker_;
+    std::unique_ptr<charge_reporter> charge_reporter_;
     std::unique_ptr<concurrency_limiter> limiter_;
     admission_queue queue_;
-    response_buffer answers_;
+    response_buffer responses_;
     http_client target_;
-    target_load_watch target_load_;
-    incarnation_id own_{};
+    target_load_poller target_load_;
+    incarnation_id incarnation_{};
     bool registering_ = false;
     bool active_ = false;
-    bool leaving_ = false;
-    bool closing_ = false;
+    bool draining_ = false;
+    bool close_submitted_ = false;
     instant drain_until_{};
-    std::function<void()> drained_;
+    std::function<void()> on_drained_;
     std::unordered_map<attempt_id, attempt_state> attempts_;
-    /// The attempt that makes the answer to a key, while it runs.
-    std::unordered_map<digest, attempt_id> running_keys_;
-    std::deque<early_dispatch> early_;
+    /// The running attempt whose response is buffered under a request key.
+    std::unordered_map<digest, attempt_id> running_attempts_by_key_;
+    std::deque<deferred_dispatch> deferred_;
     unsigned target_failures_ = 0;
     instant target_down_until_{};
     std::unique_ptr<timer> tick_;
--- a/src/roles/guard/guard_replies.hpp
+++ b/src/roles/guard/guard_replies.hpp
@@ -12,39 +12,40 @@
 
 namespace wrenswitch {
 
-/// Who wants an answer: an entry's request, over the connection it came by.
-struct answer_listener {
+/// A receiver of a response: an entry's request and the connection on which it arrived.
+struct response_listener {
     message_origin origin;
     std::uint64_t request = 0;
     attempt_id attempt{};
 };
 
-/// What a guard says to entries of their attempts. Each word that isn't a piece of an answer tells
-/// the guard's load too.
-class guard_replies {
+/// Sends entries the replies to their attempts. Every reply except a response chunk also carries
+/// the guard's load.
+class guard_reply_sender {
 public:
-    /// Everything must outlive this; `own` changes once the guard is registered.
-    guard_replies(message_bus& bus, const incarnation_id& own,
-                  std::function<wire::LoadReport()> load, metrics& counters, timeline& events);
+    /// All references must outlive the sender. `incarnation` is read at each send, since it changes
+    /// when the guard registers.
+    guard_reply_sender(message_bus& bus, const incarnation_id& incarnation,
+                       std::function<wire::LoadReport()> load, metrics& counters, timeline& events);
 
-    /// The attempt is the guard's now, and runs if it started.
-    void accept(const answer_listener& to, bool started);
+    /// Reports that the attempt was accepted, and whether it is running or still queued.
+    void send_accepted(const response_listener& to, bool started);
 
-    /// The attempt didn't run and won't.
-    void refuse(const answer_listener& to, refusal_reason reason);
+    /// Reports that the attempt did not run and will not.
+    void send_refused(const response_listener& to, refusal_reason reason);
 
-    /// A piece of the answer, with its place in it. The first one tells the type.
-    void send_chunk(const answer_listener& to, std::uint32_t index, unsigned status,
+    /// Sends one chunk of the response body. Only the chunk with index 0 carries the content type.
+    void send_chunk(const response_listener& to, std::uint32_t index, unsigned status,
                     std::string_view content_type, std::string_view data);
 
-    /// The answer ended after so many pieces.
-    void send_end(const answer_listener& to, std::uint32_t chunks, bool whole, tokens cost);
+    /// Reports the end of the response, with the number of chunks sent and the cost.
+    void send_end(const response_listener& to, std::uint32_t chunks, bool complete, tokens cost);
 
 private:
-    wire::Envelope make_message() const;
+    wire::Envelope make_envelope() const;
 
     message_bus& bus_;
-    const incarnation_id& own_;
+    const incarnation_id& incarnation_;
     std::function<wire::LoadReport()> load_;
     metrics& counters_;
     timeline& events_;
--- a/src/roles/guard/guard_settings.hpp
+++ b/src/roles/guard/guard_settings.hpp
@@ -10,7 +10,7 @@
 
 namespace wrenswitch {
 
-/// The settings of a guard.
+/// The settings of a guard, read from its settings file.
 struct guard_settings {
     process_settings process;
     std::string service;
@@ -20,7 +20,7 @@
     std::string limiter = "token_pace";
     limiter_settings limits;
     admission_queue_settings admission;
-    response_buffer_settings answers;
+    response_buffer_settings responses;
 };
 
 }  // namespace wrenswitch
--- a/src/roles/guard/target_call.cpp
+++ b/src/roles/guard/target_call.cpp
@@ -5,15 +5,15 @@
 namespace wrenswitch {
 namespace {
 
-/// Enough for the last event of a stream or the last members of a whole answer.
+/// Holds the last event of a stream or the last members of an unstreamed response.
 constexpr std::size_t tail_bytes = 4096;
 constexpr unsigned status_unavailable = 503;
 constexpr unsigned first_error_status = 400;
-constexpr microseconds longest_silence = seconds(120);
+constexpr microseconds idle_timeout = seconds(120);
 
 }  // namespace
 
-tokens usage_in(std::string_view tail) {
+tokens find_total_tokens(std::string_view tail) {
     constexpr std::string_view name = "\"total_tokens\":";
     const std::size_t found = tail.rfind(name);
     if (found == std::string_view::npos) {
@@ -30,43 +30,43 @@
 
 target_call::target_call(http_client& client, const target_request& request,
                          target_call_hooks hooks)
-    : request_(request), hooks_(std::move(hooks)), started_(monotonic_now()) {
+    : request_(request), hooks_(std::move(hooks)), started_at_(monotonic_now()) {
     http_request call;
     call.method = request.method;
     call.target = request.path;
     call.body = request.body;
-    call.timeout = longest_silence;
-    call.fresh_connection = !request.model;
+    call.timeout = idle_timeout;
+    call.fresh_connection = !request.is_model;
     call.headers = {{"Content-Type", request.content_type},
                     {"X-Client-Account", request.client_account},
                     {"Idempotency-Key", request.key},
                     {"X-Priority", std::to_string(request.priority)}};
     call_ = client.send(
         std::move(call), [this](const result<http_reply>& reply) { on_reply(reply); },
-        [this](const http_reply& head, std::string_view piece) { on_piece(head, piece); });
+        [this](const http_reply& head, std::string_view chunk) { on_chunk(head, chunk); });
 }
 
-void target_call::on_piece(const http_reply& head, std::string_view piece) {
-    if (!headed_) {
-        headed_ = true;
+void target_call::on_chunk(const http_reply& head, std::string_view chunk) {
+    if (!head_received_) {
+        head_received_ = true;
         status_ = head.status;
-        first_ = monotonic_now();
-        if (request_.model && status_ == status_unavailable) {
+        first_chunk_at_ = monotonic_now();
+        if (request_.is_model && status_ == status_unavailable) {
             return;
         }
-        hooks_.head(head.status, head.content_type);
+        hooks_.on_head(head.status, head.content_type);
     }
-    const bool refused = request_.model && status_ == status_unavailable;
-    if (refused || piece.empty()) {
+    const bool refused = request_.is_model && status_ == status_unavailable;
+    if (refused || chunk.empty()) {
         return;
     }
-    take_in(piece);
-    hooks_.piece(piece);
+    record_chunk(chunk);
+    hooks_.on_chunk(chunk);
 }
 
-void target_call::take_in(std::string_view bytes) {
-    last_ = monotonic_now();
-    ++pieces_;
+void target_call::record_chunk(std::string_view bytes) {
+    last_chunk_at_ = monotonic_now();
+    ++chunk_count_;
     tail_.append(bytes);
     if (tail_.size() > 2 * tail_bytes) {
         tail_.erase(0, tail_.size() - tail_bytes);
@@ -74,44 +74,46 @@
 }
 
 void target_call::on_reply(const result<http_reply>& reply) {
-    target_end end;
+    target_call_result call_result;
     const bool unreachable = !reply && reply.error().code == error_code::unreachable;
-    const bool refused = reply && request_.model && reply.value().status == status_unavailable;
+    const bool refused = reply && request_.is_model && reply.value().status == status_unavailable;
     if (unreachable || refused) {
-        end.not_run = true;
-        hooks_.end(end);
+        call_result.not_run = true;
+        hooks_.on_end(call_result);
         return;
     }
     if (!reply) {
-        // It may have run, in whole or in part, so all that was reserved counts as spent.
-        end.cost = request_.model ? request_.bound : request_.fixed_cost;
-        hooks_.end(end);
+        // The target may have run the request in full or in part, so the whole reservation is
+        // charged.
+        call_result.cost = request_.is_model ? request_.token_bound : request_.fixed_cost;
+        hooks_.on_end(call_result);
         return;
     }
-    if (!headed_) {
-        headed_ = true;
+    if (!head_received_) {
+        head_received_ = true;
         status_ = reply.value().status;
-        first_ = monotonic_now();
-        hooks_.head(status_, reply.value().content_type);
+        first_chunk_at_ = monotonic_now();
+        hooks_.on_head(status_, reply.value().content_type);
     }
-    end.whole = true;
-    end.cost = cost_of_whole_answer(status_);
-    end.first_token = first_ - started_;
-    if (pieces_ > 1) {
-        end.between_tokens = (last_ - first_) / static_cast<std::int64_t>(pieces_ - 1);
+    call_result.complete = true;
+    call_result.cost = complete_response_cost(status_);
+    call_result.time_to_first_token = first_chunk_at_ - started_at_;
+    if (chunk_count_ > 1) {
+        call_result.inter_token_latency =
+            (last_chunk_at_ - first_chunk_at_) / static_cast<std::int64_t>(chunk_count_ - 1);
     }
-    hooks_.end(end);
+    hooks_.on_end(call_result);
 }
 
-tokens target_call::cost_of_whole_answer(unsigned status) const {
-    if (!request_.model) {
+tokens target_call::complete_response_cost(unsigned status) const {
+    if (!request_.is_model) {
         return request_.fixed_cost;
     }
     if (status >= first_error_status) {
         return 0;
     }
-    const tokens stated = usage_in(tail_);
-    return stated < 0 ? request_.bound : stated;
+    const tokens stated = find_total_tokens(tail_);
+    return stated < 0 ? request_.token_bound : stated;
 }
 
 }  // namespace wrenswitch
--- a/src/roles/guard/target_call.hpp
+++ b/src/roles/guard/target_call.hpp
@@ -11,66 +11,69 @@
 
 namespace wrenswitch {
 
-/// What a target is asked to do.
+/// A request to be sent to a target.
 struct target_request {
     std::string method;
     std::string path;
     std::string content_type;
     std::string body;
     std::string client_account;
-    /// The request key as the target counts it.
+    /// The idempotency key that is sent to the target.
     std::string key;
     std::uint32_t priority = 0;
-    bool model = true;
-    /// The most that it may cost.
-    tokens bound = 0;
-    /// What a plain call costs.
+    /// True for a model call, which is charged by the tokens used.
+    bool is_model = true;
+    /// The maximum cost of a model call, as reserved by its ticket.
+    tokens token_bound = 0;
+    /// The cost of a call that is not a model call.
     tokens fixed_cost = 0;
 };
 
-/// How a call ended.
-struct target_end {
-    /// The target certainly did not run it.
+/// The outcome of a call.
+struct target_call_result {
+    /// The target is known not to have run the request.
     bool not_run = false;
-    /// The answer is complete.
-    bool whole = false;
+    /// The complete response was received.
+    bool complete = false;
     tokens cost = 0;
-    microseconds first_token{0};
-    microseconds between_tokens{0};
+    microseconds time_to_first_token{0};
+    microseconds inter_token_latency{0};
 };
 
-/// What a call tells its owner.
+/// The callbacks of a call.
 struct target_call_hooks {
-    std::function<void(unsigned status, std::string_view content_type)> head;
-    std::function<void(std::string_view piece)> piece;
-    std::function<void(const target_end&)> end;
+    std::function<void(unsigned status, std::string_view content_type)> on_head;
+    std::function<void(std::string_view chunk)> on_chunk;
+    std::function<void(const target_call_result&)> on_end;
 };
 
-/// One call of a target. Destroying it drops the connection.
+/// One HTTP call to a target. Measures its latency and determines its cost. Destroying it closes
+/// the connection.
 class target_call {
 public:
     target_call(http_client& client, const target_request& request, target_call_hooks hooks);
 
 private:
-    void on_piece(const http_reply& head, std::string_view piece);
+    void on_chunk(const http_reply& head, std::string_view chunk);
     void on_reply(const result<http_reply>& reply);
-    void take_in(std::string_view bytes);
-    tokens cost_of_whole_answer(unsigned status) const;
+    void record_chunk(std::string_view bytes);
+    tokens complete_response_cost(unsigned status) const;
 
     target_request request_;
     target_call_hooks hooks_;
-    instant started_;
-    instant first_{};
-    instant last_{};
-    std::size_t pieces_ = 0;
+    instant started_at_;
+    instant first_chunk_at_{};
+    instant last_chunk_at_{};
+    std::size_t chunk_count_ = 0;
     unsigned status_ = 0;
-    /// The end of what came, in which a model states the usage.
+    /// The end of the body received so far, in which a model reports its token usage.
     std::string tail_;
-    bool headed_ = false;
+    bool head_received_ = false;
     std::unique_ptr<http_call> call_;
 };
 
-/// The total of the last "usage" in the end of an answer, or a negative number if there is none.
-tokens usage_in(std::string_view tail);
+/// Returns the value of the last "total_tokens" member in the end of a response body, or -1 if
+/// there is none.
+tokens find_total_tokens(std::string_view tail);
 
 }  // namespace wrenswitch
--- a/src/roles/guard/target_load_watch.cpp
+++ b/src/roles/guard/target_load_watch.cpp
@@ -5,7 +5,7 @@
 
 namespace wrenswitch {
 
-void target_load_watch::poll() {
+void target_load_poller::poll() {
     if (call_ != nullptr) {
         return;
     }
@@ -13,22 +13,22 @@
     request.target = "/load";
     request.timeout = seconds(1);
     call_ = target_.send(std::move(request), [this](const result<http_reply>& reply) {
-        // The call is still on the stack.
+        // The callback is running inside the call, so the call is destroyed later.
         loop_.call_after(microseconds(0), [this] { call_.reset(); });
-        take_in(reply);
+        update_load(reply);
     });
 }
 
-void target_load_watch::take_in(const result<http_reply>& reply) {
+void target_load_poller::update_load(const result<http_reply>& reply) {
     if (!reply) {
-        last_ = {};
+        latest_ = {};
         return;
     }
     const auto parsed = nlohmann::json::parse(reply.value().body, nullptr, false);
     if (parsed.is_object()) {
-        last_.batch = parsed.value("batch", -1.0);
-        last_.queue = parsed.value("queue", -1.0);
-        last_.memory = parsed.value("memory", -1.0);
+        latest_.batch = parsed.value("batch", -1.0);
+        latest_.queue = parsed.value("queue", -1.0);
+        latest_.memory = parsed.value("memory", -1.0);
     }
 }
 
--- a/src/roles/guard/target_load_watch.hpp
+++ b/src/roles/guard/target_load_watch.hpp
@@ -7,29 +7,29 @@
 
 namespace wrenswitch {
 
-/// What a target last said of its load; -1 where it says nothing.
+/// The load that a target last reported; -1 for values that it does not report.
 struct target_load {
     double batch = -1.0;
     double queue = -1.0;
     double memory = -1.0;
 };
 
-/// Asks a target for its load, one call at a time.
-class target_load_watch {
+/// Polls a target for its load, with at most one call in flight.
+class target_load_poller {
 public:
-    target_load_watch(event_loop& loop, http_client& target) : loop_(loop), target_(target) {}
+    target_load_poller(event_loop& loop, http_client& target) : loop_(loop), target_(target) {}
 
-    /// Asks, unless an answer is still awaited.
+    /// Sends a load request unless one is still in flight.
     void poll();
 
-    const target_load& last() const { return last_; }
+    const target_load& latest() const { return latest_; }
 
 private:
-    void take_in(const result<http_reply>& reply);
+    void update_load(const result<http_reply>& reply);
 
     event_loop& loop_;
     http_client& target_;
-    target_load last_;
+    target_load latest_;
     std::unique_ptr<http_call> call_;
 };
 
--- a/src/roles/relay/relay.cpp
+++ b/src/roles/relay/relay.cpp
@@ -12,49 +12,49 @@
 namespace wrenswitch {
 namespace {
 
-/// The longest that a peer may have a call waited for.
-constexpr microseconds longest_call = seconds(30);
+/// The upper bound of the timeout that a peer may request for a call.
+constexpr microseconds max_call_timeout = seconds(30);
 
-http_request request_of(const wire::RelayCall& wanted) {
+http_request to_http_request(const wire::RelayCall& call) {
     http_request request;
-    request.method = wanted.method();
-    request.target = wanted.target();
-    request.body = wanted.body();
-    request.timeout = std::min<microseconds>(milliseconds(wanted.timeout_ms()), longest_call);
-    if (!wanted.content_type().empty()) {
-        request.headers.push_back({"Content-Type", wanted.content_type()});
+    request.method = call.method();
+    request.target = call.target();
+    request.body = call.body();
+    request.timeout = std::min<microseconds>(milliseconds(call.timeout_ms()), max_call_timeout);
+    if (!call.content_type().empty()) {
+        request.headers.push_back({"Content-Type", call.content_type()});
     }
     return request;
 }
 
 /// Sends the reply, split into parts if the caller requested a part size, so that the caller can
 /// observe the progress of a long reply.
-void send_reply(message_bus& bus, const message_origin& origin, const wire::RelayCall& wanted,
+void send_reply(message_bus& bus, const message_origin& origin, const wire::RelayCall& call,
                 const result<http_reply>& reply) {
     const std::string_view body = reply ? std::string_view(reply.value().body) : std::string_view();
-    const std::size_t most_part_bytes =
-        wanted.most_part_bytes() == 0 ? body.size() : wanted.most_part_bytes();
-    std::uint32_t part = 0;
+    const std::size_t max_part_bytes =
+        call.most_part_bytes() == 0 ? body.size() : call.most_part_bytes();
+    std::uint32_t part_index = 0;
     std::size_t sent = 0;
     do {
         wire::Envelope message;
-        wire::RelayReply& answer = *message.mutable_relay_reply();
-        answer.set_call(wanted.call());
+        wire::RelayReply& wire_reply = *message.mutable_relay_reply();
+        wire_reply.set_call(call.call());
         if (reply) {
-            const std::string_view bytes = body.substr(sent, most_part_bytes);
+            const std::string_view bytes = body.substr(sent, max_part_bytes);
             sent += bytes.size();
-            answer.set_status(reply.value().status);
-            answer.set_content_type(reply.value().content_type);
-            answer.set_body(bytes.data(), bytes.size());
-            if (part == 0) {
+            wire_reply.set_status(reply.value().status);
+            wire_reply.set_content_type(reply.value().content_type);
+            wire_reply.set_body(bytes.data(), bytes.size());
+            if (part_index == 0) {
                 for (const http_header& header : reply.value().headers) {
-                    wire::RelayHeader& wire_header = *answer.add_headers();
+                    wire::RelayHeader& wire_header = *wire_reply.add_headers();
                     wire_header.set_name(header.name);
                     wire_header.set_value(header.value);
                 }
             }
-            answer.set_part(part++);
-            answer.set_more(sent < body.size());
+            wire_reply.set_part(part_index++);
+            wire_reply.set_more(sent < body.size());
         }
         bus.answer(origin, message);
     } while (sent < body.size());
@@ -74,24 +74,24 @@
 
 int run_relay(const std::string& path, const std::string& text) {
     findings problems;
-    const std::optional<relay_settings> read = read_relay_settings(text, problems);
-    if (!read) {
+    const std::optional<relay_settings> parsed = read_relay_settings(text, problems);
+    if (!parsed) {
         log_event(log_level::error, "settings_refused", {{"findings", problems.to_text()}});
         return exit_bad_settings;
     }
-    const relay_settings& settings = *read;
+    const relay_settings& settings = *parsed;
     event_loop loop;
-    // A relay has nothing that may change while it runs; the watch only keeps SIGHUP from ending
-    // it.
+    // No setting of a relay can change at run time; the watch only keeps SIGHUP from terminating
+    // the process.
     const settings_watch watch(loop, path, text, [](const std::string&) {
         log_event(log_level::information, "settings_reloaded", {{"needs_restart", "yes"}});
     });
-    result<std::unique_ptr<message_bus>> opened = message_bus::open(loop, settings.bus);
-    if (!opened) {
-        log_event(log_level::error, "relay_cannot_start", {{"reason", opened.error().message}});
+    result<std::unique_ptr<message_bus>> opened_bus = message_bus::open(loop, settings.bus);
+    if (!opened_bus) {
+        log_event(log_level::error, "relay_cannot_start", {{"reason", opened_bus.error().message}});
         return exit_unavailable;
     }
-    message_bus& bus = *opened.value();
+    message_bus& bus = *opened_bus.value();
     arrival_watch arrivals;
     const std::unique_ptr<service_channel> service =
         make_direct_channel(loop, settings.service, arrivals);
@@ -99,11 +99,10 @@
         if (!message.has_relay_call()) {
             return;
         }
-        service->call(
-            request_of(message.relay_call()),
-            [&bus, origin, wanted = message.relay_call()](const result<http_reply>& reply) {
-                send_reply(bus, origin, wanted, reply);
-            });
+        service->call(to_http_request(message.relay_call()),
+                      [&bus, origin, call = message.relay_call()](const result<http_reply>& reply) {
+                          send_reply(bus, origin, call, reply);
+                      });
     });
     log_event(log_level::information, "relay_started",
               {{"host", settings.host}, {"endpoint", bus.endpoint()}});
--- a/src/roles/shared/platform_settings.cpp
+++ b/src/roles/shared/platform_settings.cpp
@@ -3,17 +3,17 @@
 namespace wrenswitch {
 namespace {
 
-constexpr std::int64_t most_shards = 4096;
-constexpr std::int64_t most_snapshot_records = 10'000'000;
-constexpr std::int64_t most_timeline_events = 10'000'000;
-constexpr std::int64_t longest_drain_ms = 86'400'000;
-constexpr std::size_t curve_key_letters = 40;
+constexpr std::int64_t max_shards = 4096;
+constexpr std::int64_t max_snapshot_records = 10'000'000;
+constexpr std::int64_t max_timeline_events = 10'000'000;
+constexpr std::int64_t max_drain_ms = 86'400'000;
+constexpr std::size_t curve_key_length = 40;
 
 std::string read_curve_key(settings_reader& reader, std::string_view name, findings& problems) {
     std::string key = reader.text_or(name, "");
-    if (!key.empty() && key.size() != curve_key_letters) {
-        problems.add("/" + std::string(name), std::to_string(key.size()) + " letters",
-                     "a CURVE key of 40 letters in Z85");
+    if (!key.empty() && key.size() != curve_key_length) {
+        problems.add("/" + std::string(name), std::to_string(key.size()) + " characters",
+                     "a CURVE key of 40 characters, Z85 encoded");
     }
     return key;
 }
@@ -27,7 +27,8 @@
     }
     result<http_address> address = http_address::parse(text);
     if (!address) {
-        problems.add("/" + std::string(name), text, "an address and a port, as 127.0.0.1:9000");
+        problems.add("/" + std::string(name), text,
+                     "an address and a port, such as 127.0.0.1:9000");
         return {};
     }
     return address.value();
@@ -43,18 +44,18 @@
     settings.bus.curve_public_key = read_curve_key(reader, "curve_public_key", problems);
     settings.bus.curve_secret_key = read_curve_key(reader, "curve_secret_key", problems);
     if (settings.bus.curve_public_key.empty() != settings.bus.curve_secret_key.empty()) {
-        problems.add("/curve_public_key", "one of both keys", "both curve keys or neither");
+        problems.add("/curve_public_key", "only one of the two keys", "both curve keys or neither");
     }
     settings.ledger_shards = static_cast<std::uint32_t>(
-        reader.integer_or("ledger_shards", settings.ledger_shards, 1, most_shards));
+        reader.integer_or("ledger_shards", settings.ledger_shards, 1, max_shards));
     settings.snapshot_records = static_cast<std::uint64_t>(
         reader.integer_or("snapshot_records", static_cast<std::int64_t>(settings.snapshot_records),
-                          10, most_snapshot_records));
+                          10, max_snapshot_records));
     settings.timeline_events = static_cast<std::uint64_t>(
         reader.integer_or("timeline_events", static_cast<std::int64_t>(settings.timeline_events), 1,
-                          most_timeline_events));
-    settings.longest_drain =
-        milliseconds(reader.integer_or("longest_drain_ms", 120'000, 0, longest_drain_ms));
+                          max_timeline_events));
+    settings.max_drain =
+        milliseconds(reader.integer_or("longest_drain_ms", 120'000, 0, max_drain_ms));
     return settings;
 }
 
--- a/src/roles/shared/platform_settings.hpp
+++ b/src/roles/shared/platform_settings.hpp
@@ -10,27 +10,29 @@
 
 namespace wrenswitch {
 
-/// The settings that entries and guards share.
+/// The settings that entries and guards have in common.
 struct process_settings {
     std::string host;
     std::string region;
     std::string failure_domain;
     http_address log;
     message_bus_settings bus;
-    /// How many ledger streams there are; the same for the whole fleet, for good.
+    /// The number of ledger streams. Must be the same in all processes of a deployment and must
+    /// never change.
     std::uint32_t ledger_shards = 8;
-    /// A snapshot of a stream is written after this many records.
+    /// The number of records after which a snapshot of a stream is written.
     std::uint64_t snapshot_records = 5000;
-    /// How many events of the time line are kept.
+    /// The number of events that the timeline retains.
     std::uint64_t timeline_events = 20'000;
-    /// How long a planned stop waits for what runs.
-    microseconds longest_drain = seconds(120);
+    /// How long a graceful shutdown waits for running requests.
+    microseconds max_drain = seconds(120);
 };
 
-/// Reads them out of a settings file.
+/// Parses the common settings. Every invalid one is added to `problems`.
 process_settings read_process_settings(settings_reader& reader, findings& problems);
 
-/// Reads an address that must be there.
+/// Parses a required address. Adds a finding and returns an empty address if it is missing or
+/// malformed.
 http_address read_address(settings_reader& reader, std::string_view name, findings& problems);
 
 }  // namespace wrenswitch
--- a/tests/roles/entry_rollouts_test.cpp
+++ b/tests/roles/entry_rollouts_test.cpp
@@ -198,7 +198,7 @@
     gateway_dialect dialect;
     gateway_rollouts without_orders(dialect, 0.1, counters, {});
     BOOST_TEST(!without_orders.on_configuration_record(now, {"order/app", "v2", 5}));
-    dialect.ordered_service = [](std::string_view key) -> std::optional<std::string> {
+    dialect.rollout_service = [](std::string_view key) -> std::optional<std::string> {
         return key.starts_with("order/") ? std::optional(std::string(key.substr(6))) : std::nullopt;
     };
     dialect.read_order = [](std::string_view service, std::string_view value,
