--- a/spec/budget.pml
+++ b/spec/budget.pml
@@ -1,7 +1,7 @@
 /* No budget is overspent and no request is billed twice, through a holder that pauses and wakes, a
  * guard that crashes and is replaced, late tickets, lost answers and repeated requests.
  *
- * It stands for: ledger_state (draw, settle, reclaim), budget_home (reserve, charge_ended),
+ * It stands for: ledger_state (draw, settle, reclaim), budget_allocator (reserve, charge_reported),
  * charge_tracker (begin_charge, charges_of_holder) and control_state (fences and marks).
  *
  * The log is one order of atomic steps; what lags is what each process has read of it. Home 0 may
--- a/spec/requests.pml
+++ b/spec/requests.pml
@@ -1,7 +1,7 @@
 /* A request that may not be repeated runs at most once, and "not run" is true, through crashes of
  * its home and its guards, dispatches that come late, voids, and a takeover by another home.
  *
- * It stands for: budget_home (key grant, release), ledger_state (hold_keys, reclaim), request_handler
+ * It stands for: budget_allocator (key grant, release), ledger_state (hold_keys, reclaim), request_handler
  * (void, retry), charge_tracker (begin_charge, void_ticket, charges_of_holder) and control_state (fences, marks). Home
  * 0 holds the key grant and writes nothing to the log in time. Home 1 takes over once home 0 was
  * fenced and every guard incarnation that was there has marked the fence. A guard that restarts has
